--- a/havengrade_core/src/published/pins.rs
+++ b/havengrade_core/src/published/pins.rs
@@ -6,10 +6,10 @@
 };
 
 use crate::{
+    gossip::{REPORTS_PER_ENTRY, time_from_age},
     ids::SessionId,
     published::directory::SoftwareVersion,
     secret::spread,
-    tellings::{TELLINGS, told_at},
 };
 
 /// What a session is known by between VMs.
@@ -131,17 +131,17 @@
 
     /// Takes what another VM tells of a session, unless something later is known.
     pub(super) fn hear(&mut self, kept: KeptSession, now: SystemTime) {
-        let used = told_at(kept.used_ago, now);
+        let used = time_from_age(kept.used_ago, now);
         if self.heard.get(&kept.session).is_some_and(|known| known.used >= used) {
             return;
         }
         // Told on once, for those who did not hear it.
-        let pin = Pin { version: kept.version, used, busy_until: used, has_moved: false, told: TELLINGS - 1 };
+        let pin = Pin { version: kept.version, used, busy_until: used, has_moved: false, told: REPORTS_PER_ENTRY - 1 };
         self.heard.insert(kept.session, pin);
     }
 
     /// The sessions of which others are to know: of this VM's own those that `is_wanted` picks by their versions, and those that moved;
-    /// after them all of the others'. At most `most`, those first that were told least often; none more often than [`TELLINGS`].
+    /// after them all of the others'. At most `most`, those first that were told least often; none more often than [`REPORTS_PER_ENTRY`].
     pub(super) fn tell(
         &mut self,
         is_wanted: impl Fn(&SessionId, &SoftwareVersion) -> bool,
@@ -149,7 +149,7 @@
         session_time: Duration,
         now: SystemTime,
     ) -> Vec<KeptSession> {
-        let is_due = |pin: &Pin| pin.told < TELLINGS && pin.is_live(session_time, now);
+        let is_due = |pin: &Pin| pin.told < REPORTS_PER_ENTRY && pin.is_live(session_time, now);
         let own = self.by_session.iter_mut().filter(|(id, pin)| pin.has_moved || is_wanted(id, &pin.version));
         let own = own.map(|(id, pin)| (mark(id), pin)).filter(|(_, pin)| is_due(pin));
         let heard = self.heard.iter_mut().map(|(session, pin)| (*session, pin)).filter(|(_, pin)| is_due(pin));
--- a/havengrade_core/src/published/signals.rs
+++ b/havengrade_core/src/published/signals.rs
@@ -10,9 +10,9 @@
 };
 
 use crate::{
+    gossip::{REPORTS_PER_ENTRY, least_reported, time_from_age},
     ids::EndpointId,
     published::directory::{EndpointStart, ListedEndpoint, is_earlier},
-    tellings::{TELLINGS, least_told, told_at},
 };
 
 /// Time for which others are told that an endpoint names no limit any longer, and for which what gone endpoints said is kept.
@@ -192,9 +192,9 @@
             let Some(known) = self.of_start(&endpoint, start, now) else { continue };
             known.seen = now;
             let limit = limit.and_then(|ToldLimit { per_s, age, turn }| {
-                known.take_limit(Limit { per_s, said: told_at(age, now), turn })
+                known.take_limit(Limit { per_s, said: time_from_age(age, now), turn })
             });
-            let leaving = leaving_for.and_then(|age| known.take_leaving(told_at(age, now)));
+            let leaving = leaving_for.and_then(|age| known.take_leaving(time_from_age(age, now)));
             changes.extend(limit.into_iter().chain(leaving).map(|change| (endpoint.clone(), change)));
         }
         changes
@@ -236,13 +236,13 @@
 
     /// Whether others have not been told of something yet.
     pub fn has_news(&self) -> bool {
-        self.known.values().any(|known| known.is_shared() && known.told < TELLINGS)
+        self.known.values().any(|known| known.is_shared() && known.told < REPORTS_PER_ENTRY)
     }
 
     /// What the next report tells: what changed, and a few others in turn, so that the ages of limits are known.
     pub fn tell(&mut self, now: SystemTime) -> Vec<ToldSignal> {
         let shared = self.known.iter().filter(|(_, known)| known.is_shared());
-        let next = least_told(shared.map(|(endpoint, known)| (endpoint.clone(), known.told)));
+        let next = least_reported(shared.map(|(endpoint, known)| (endpoint.clone(), known.told)));
         let mut told = Vec::new();
         for endpoint in next {
             if let Some(known) = self.known.get_mut(&endpoint) {
--- a/havengrade_core/src/quarantine.rs
+++ b/havengrade_core/src/quarantine.rs
@@ -16,10 +16,10 @@
 use crate::{
     answered::{ANSWER_LIFE, Answered, Run},
     blame::{Blamed, Sight, Sights, is_same_moment, to_blame},
+    gossip::{REPORTS_PER_ENTRY, least_reported},
     hold::HOLD,
     ids::EndpointId,
     mark::{RequestMark, VersionMark},
-    tellings::{TELLINGS, least_told},
 };
 pub use crate::{
     hold::{KeptHold, next_trial},
@@ -338,12 +338,12 @@
     pub fn tell(&mut self, now: SystemTime) -> QuarantineNews {
         let age = |at: SystemTime| now.duration_since(at).unwrap_or_default();
         let mut news = QuarantineNews::default();
-        for mark in least_told(self.held.iter().map(|(mark, hold)| (*mark, hold.told))) {
+        for mark in least_reported(self.held.iter().map(|(mark, hold)| (*mark, hold.told))) {
             let Some(hold) = self.held.get_mut(&mark) else { continue };
             hold.told += 1;
             news.held.push(ToldHold::new(&hold.kept, hold.is_kept, now));
         }
-        for key in least_told(self.tellings.iter().map(|(key, told)| (key.clone(), *told))) {
+        for key in least_reported(self.tellings.iter().map(|(key, told)| (key.clone(), *told))) {
             self.tellings.entry(key.clone()).and_modify(|told| *told += 1);
             let (mark, endpoint) = key;
             let seen = self.sights.get(&mark).into_iter().flatten();
@@ -356,7 +356,7 @@
                 age: age(sight.at),
             }));
         }
-        for run in least_told(self.cleared.iter().map(|(run, (_, told))| (*run, *told))) {
+        for run in least_reported(self.cleared.iter().map(|(run, (_, told))| (*run, *told))) {
             let Some((at, told)) = self.cleared.get_mut(&run) else { continue };
             *told += 1;
             news.answered.push(ToldAnswer { mark: run.0, version: run.1, age: age(*at) });
@@ -427,7 +427,7 @@
     /// Takes an answer that another VM saw, also of a request of which no crash is known here yet.
     fn hear_answer(&mut self, run: Run, at: SystemTime) -> Option<QuarantineChange> {
         let change = self.clear(run, at);
-        self.cleared.entry(run).or_insert((at, TELLINGS));
+        self.cleared.entry(run).or_insert((at, REPORTS_PER_ENTRY));
         change
     }
 
