--- a/havengrade_core/benches/decisions.rs
+++ b/havengrade_core/benches/decisions.rs
@@ -6,9 +6,9 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use havengrade_core::{
     config::{Base, Catalog, ChangeFile, ChangeRecord, Config, ConfigRecord},
-    decision::{RequestMeta, decide, endpoint},
-    evidence::Totals,
-    selection::{EndpointState, EndpointStates, Wanted},
+    endpoint_selection::{EndpointState, EndpointStates, SelectionContext},
+    evidence::EvidenceTotals,
+    routing::{RequestMeta, choose_endpoint, decide_route},
 };
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng as _};
 
@@ -70,13 +70,14 @@
         let account = catalog.config.accounts["a"].clone();
         let meta = RequestMeta { class: "q".into(), ..RequestMeta::default() };
         let mut rng = ChaCha8Rng::seed_from_u64(1);
-        let wanted = Wanted { failure_domain: "d", tried: &[], now: SystemTime::UNIX_EPOCH };
+        let wanted = SelectionContext { failure_domain: "d", tried: &[], now: SystemTime::UNIX_EPOCH };
         let version = "m@1".to_owned();
         group.bench_function(BenchmarkId::from_parameter(endpoints), |bencher| {
             bencher.iter(|| {
                 let now = SystemTime::UNIX_EPOCH;
-                let decision = decide(&catalog, &account, &meta, &Totals::default(), &mut rng, now).unwrap();
-                black_box(endpoint(&catalog, &decision.route, Some(&version), &Idle, wanted, &mut rng));
+                let decision =
+                    decide_route(&catalog, &account, &meta, &EvidenceTotals::default(), &mut rng, now).unwrap();
+                black_box(choose_endpoint(&catalog, &decision.route, Some(&version), &Idle, wanted, &mut rng));
             });
         });
     }
--- a/havengrade_core/src/admission.rs
+++ b/havengrade_core/src/admission.rs
@@ -9,7 +9,7 @@
 
 /// Why a request was not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Limit {
+pub enum AccountLimit {
     /// Too many of the client account's requests are in progress.
     Concurrency,
     /// The client account started too many requests in the last second.
@@ -18,7 +18,7 @@
 
 /// What a client account uses, on this VM and on the others.
 #[derive(Clone, Copy, Debug, Default)]
-struct AccountUse {
+struct AccountUsage {
     in_progress: u32,
     elsewhere: u32,
     /// Tokens of the rate limit, in thousandths of a request.
@@ -32,7 +32,7 @@
 /// Use of all client accounts.
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
-    uses: HashMap<AccountId, AccountUse>,
+    uses: HashMap<AccountId, AccountUsage>,
 }
 
 impl Admission {
@@ -43,19 +43,19 @@
     /// # Errors
     ///
     /// The limit and the time after which another try may pass.
-    pub fn admit(&mut self, account: &Account, sharers: u32, now: SystemTime) -> Result<(), (Limit, Duration)> {
+    pub fn admit(&mut self, account: &Account, sharers: u32, now: SystemTime) -> Result<(), (AccountLimit, Duration)> {
         /// Time after which a request in progress may have ended.
         const CONCURRENCY_RETRY: Duration = Duration::from_secs(1);
 
         let usage = self.uses.entry(account.id.clone()).or_default();
         if usage.in_progress + usage.elsewhere >= account.max_concurrent {
-            return Err((Limit::Concurrency, CONCURRENCY_RETRY));
+            return Err((AccountLimit::Concurrency, CONCURRENCY_RETRY));
         }
         let rate = (u64::from(account.requests_per_second) * WHOLE / u64::from(sharers.max(1))).max(1);
         usage.refill(rate, now);
         if usage.tokens < WHOLE {
             let wait = Duration::from_millis((WHOLE - usage.tokens) * WHOLE / rate);
-            return Err((Limit::Rate, wait.max(Duration::from_millis(1))));
+            return Err((AccountLimit::Rate, wait.max(Duration::from_millis(1))));
         }
         usage.tokens -= WHOLE;
         usage.in_progress += 1;
@@ -70,7 +70,7 @@
     }
 
     /// Takes over how many requests the other VMs have in progress.
-    pub fn set_elsewhere(&mut self, account: &str, in_progress: u32) {
+    pub fn set_in_progress_elsewhere(&mut self, account: &str, in_progress: u32) {
         self.uses.entry(account.to_owned()).or_default().elsewhere = in_progress;
     }
 
@@ -80,7 +80,7 @@
     }
 }
 
-impl AccountUse {
+impl AccountUsage {
     /// Adds what the rate gives since the last time, up to a second's worth and at least a request.
     fn refill(&mut self, rate: u64, now: SystemTime) {
         let most = rate.max(WHOLE);
--- a/havengrade_core/src/append.rs
+++ b/havengrade_core/src/append_budget.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime};
 
 /// Appends that may be saved up.
-const MOST_SAVED: f64 = 8.0;
+const MAX_SAVED_APPENDS: f64 = 8.0;
 
 /// A VM's share of the appends that the log service takes.
 ///
@@ -12,15 +12,15 @@
 ///
 /// ```
 /// use std::time::{Duration, SystemTime};
-/// use havengrade_core::append::AppendBudget;
+/// use havengrade_core::append_budget::AppendBudget;
 ///
 /// let mut now = SystemTime::UNIX_EPOCH;
 /// let mut budget = AppendBudget::default();
-/// while budget.take(40.0, now).is_ok() {}
-/// let wait = budget.take(40.0, now).unwrap_err();
+/// while budget.try_acquire(40.0, now).is_ok() {}
+/// let wait = budget.try_acquire(40.0, now).unwrap_err();
 /// assert_eq!(wait, Duration::from_millis(25));
 /// now += wait;
-/// assert!(budget.take(40.0, now).is_ok());
+/// assert!(budget.try_acquire(40.0, now).is_ok());
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct AppendBudget {
@@ -30,7 +30,7 @@
 
 impl Default for AppendBudget {
     fn default() -> Self {
-        Self { saved: MOST_SAVED, refilled: SystemTime::UNIX_EPOCH }
+        Self { saved: MAX_SAVED_APPENDS, refilled: SystemTime::UNIX_EPOCH }
     }
 }
 
@@ -40,9 +40,9 @@
     /// # Errors
     ///
     /// The time after which there will be one.
-    pub fn take(&mut self, per_second: f64, now: SystemTime) -> Result<(), Duration> {
+    pub fn try_acquire(&mut self, per_second: f64, now: SystemTime) -> Result<(), Duration> {
         let elapsed = now.duration_since(self.refilled).unwrap_or_default();
-        self.saved = (self.saved + elapsed.as_secs_f64() * per_second).min(MOST_SAVED);
+        self.saved = (self.saved + elapsed.as_secs_f64() * per_second).min(MAX_SAVED_APPENDS);
         self.refilled = now.max(self.refilled);
         if self.saved >= 1.0 {
             self.saved -= 1.0;
--- a/havengrade_core/src/billing.rs
+++ b/havengrade_core/src/billing.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    cost::Usage,
+    cost::TokenUsage,
     ids::{AccountId, ClassId, EndpointId, Micros, RequestId, VersionId},
 };
 
@@ -28,7 +28,7 @@
     /// Endpoint that gave the answer.
     pub endpoint: EndpointId,
     /// Tokens used over all steps of the cascade.
-    pub usage: Usage,
+    pub usage: TokenUsage,
     /// Amount owed over all steps of the cascade.
     pub cost: Micros,
     /// When the answer was complete.
@@ -42,10 +42,10 @@
 /// each leave one, since only the first in offset order counts.
 ///
 /// ```
-/// # use havengrade_core::{billing::{Bill, Bills}, cost::Usage};
+/// # use havengrade_core::{billing::{Bill, Bills}, cost::TokenUsage};
 /// # let bill = |id: &str, key: Option<&str>| Bill {
 /// #     request_id: id.into(), account: "gate".into(), key: key.map(str::to_owned), class: "pledge".into(),
-/// #     version: None, endpoint: "e".into(), usage: Usage::default(), cost: 1, at: std::time::SystemTime::UNIX_EPOCH,
+/// #     version: None, endpoint: "e".into(), usage: TokenUsage::default(), cost: 1, at: std::time::SystemTime::UNIX_EPOCH,
 /// # };
 /// let mut bills = Bills::default();
 /// assert!(bills.add(&bill("vm-1.a", Some("pledge-7"))));
--- a/havengrade_core/src/cascade.rs
+++ b/havengrade_core/src/cascade.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     config::{Account, Cascade, Config, ModelVersion},
-    evidence::Totals,
+    evidence::EvidenceTotals,
     ids::{Permille, VersionId},
 };
 
@@ -18,7 +18,7 @@
 
 /// The versions of a cascade that a request may use, from where it starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ladder {
+pub struct CascadePlan {
     /// Versions to try, in order.
     pub versions: Vec<VersionId>,
 }
@@ -29,7 +29,14 @@
 /// passes is left out, since each of its tries costs and seldom saves. Otherwise it starts at the
 /// cheapest version whose quality in the class reaches the cascade's target, or else at the best. `draw`
 /// is a random number that decides about exploration.
-pub fn plan(cfg: &Config, account: &Account, class: &str, cascade: &Cascade, evidence: &Totals, draw: u64) -> Ladder {
+pub fn plan(
+    cfg: &Config,
+    account: &Account,
+    class: &str,
+    cascade: &Cascade,
+    evidence: &EvidenceTotals,
+    draw: u64,
+) -> CascadePlan {
     let usable: Vec<&ModelVersion> = cascade
         .steps
         .iter()
@@ -42,7 +49,7 @@
         (true, false) => cheapest_way(&usable, class, evidence, cascade.quality_target),
         (false, explores) => from_start(usable, class, cascade, evidence, explores),
     };
-    Ladder { versions: chosen.into_iter().map(|version| version.id.clone()).collect() }
+    CascadePlan { versions: chosen.into_iter().map(|version| version.id.clone()).collect() }
 }
 
 /// The versions from the cheapest that is good enough on; while exploring, from one step before it.
@@ -50,7 +57,7 @@
     usable: Vec<&'a ModelVersion>,
     class: &str,
     cascade: &Cascade,
-    evidence: &Totals,
+    evidence: &EvidenceTotals,
     explores: bool,
 ) -> Vec<&'a ModelVersion> {
     let quality = |version: &ModelVersion| -> Permille {
@@ -66,7 +73,7 @@
 fn cheapest_way<'a>(
     usable: &[&'a ModelVersion],
     class: &str,
-    evidence: &Totals,
+    evidence: &EvidenceTotals,
     target: Permille,
 ) -> Vec<&'a ModelVersion> {
     // Worked out from the last version back: what a way costs from each version on, and where it goes next.
@@ -88,7 +95,7 @@
 }
 
 /// How often the version's answers reach the target; a prior above it counts for half of them and more.
-fn pass_rate(version: &ModelVersion, class: &str, evidence: &Totals, target: Permille) -> f64 {
+fn pass_rate(version: &ModelVersion, class: &str, evidence: &EvidenceTotals, target: Permille) -> f64 {
     let prior = f64::from(version.prior_quality) / f64::from(version.prior_quality + target).max(1.0);
     evidence.get(class, &version.id).pass_rate(prior, PRIOR_WEIGHT as f64)
 }
--- a/havengrade_core/src/claim.rs
+++ b/havengrade_core/src/claim.rs
@@ -61,30 +61,30 @@
 
 /// How a claim, a void or a settlement fared in offset order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ApplyResult {
     /// It took effect.
-    Effective,
+    Applied,
     /// A claim by this holder stands before it.
-    Claimed {
+    AlreadyClaimed {
         /// Run of the process that holds the claim.
         holder: Incarnation,
         /// Id of the request that holds it.
         request_id: RequestId,
     },
     /// Attempts up to this one have been declared not run.
-    Voided {
+    AlreadyVoided {
         /// The last such attempt.
         up_to: Attempt,
     },
     /// The key stands for another body.
-    OtherBody,
+    BodyMismatch,
     /// Nothing is there that it could apply to.
-    Unfounded,
+    NotApplicable,
 }
 
 /// What is kept of a claim in effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct ActiveClaim {
     /// The caller's number of the attempt.
     pub attempt: Attempt,
     /// Run of the process that holds it.
@@ -101,7 +101,7 @@
     pub at: SystemTime,
 }
 
-impl From<&Claim> for Held {
+impl From<&Claim> for ActiveClaim {
     fn from(claim: &Claim) -> Self {
         Self {
             attempt: claim.attempt,
@@ -121,53 +121,53 @@
     /// Attempts up to this one never run.
     pub voided_up_to: Attempt,
     /// The claim in effect.
-    pub claim: Option<Held>,
+    pub claim: Option<ActiveClaim>,
     /// The outcome, once it is settled.
     pub outcome: Option<Outcome>,
 }
 
 impl KeyState {
     /// Applies a claim.
-    pub fn claim(&mut self, claim: &Claim) -> Verdict {
+    pub fn claim(&mut self, claim: &Claim) -> ApplyResult {
         if let Some(held) = &self.claim {
             if held.body != parse_digest(&claim.body_sha256) {
-                return Verdict::OtherBody;
+                return ApplyResult::BodyMismatch;
             }
-            return Verdict::Claimed { holder: held.holder, request_id: held.request_id.clone() };
+            return ApplyResult::AlreadyClaimed { holder: held.holder, request_id: held.request_id.clone() };
         }
         if claim.attempt <= self.voided_up_to {
-            return Verdict::Voided { up_to: self.voided_up_to };
+            return ApplyResult::AlreadyVoided { up_to: self.voided_up_to };
         }
-        self.claim = Some(Held::from(claim));
-        Verdict::Effective
+        self.claim = Some(ActiveClaim::from(claim));
+        ApplyResult::Applied
     }
 
     /// Applies a refusal: attempts up to this one never run.
     ///
     /// A claim in effect wins over it, unless its own holder, who knows that it has not sent and never
     /// will, gives the refusal.
-    pub fn void(&mut self, up_to: Attempt, holder: Incarnation, request_id: &str) -> Verdict {
+    pub fn void(&mut self, up_to: Attempt, holder: Incarnation, request_id: &str) -> ApplyResult {
         if let Some(held) = &self.claim {
             let own = held.holder == holder && held.request_id == request_id && self.outcome.is_none();
             if !own {
-                return Verdict::Claimed { holder: held.holder, request_id: held.request_id.clone() };
+                return ApplyResult::AlreadyClaimed { holder: held.holder, request_id: held.request_id.clone() };
             }
             self.voided_up_to = self.voided_up_to.max(held.attempt);
             self.claim = None;
         }
         self.voided_up_to = self.voided_up_to.max(up_to);
-        Verdict::Effective
+        ApplyResult::Applied
     }
 
     /// Applies the outcome of the claim in effect.
     ///
     /// The first outcome stands, but an answer goes over "may have run", since it tells more.
-    pub fn settle(&mut self, request_id: &str, outcome: &Outcome) -> Verdict {
+    pub fn settle(&mut self, request_id: &str, outcome: &Outcome) -> ApplyResult {
         let Some(held) = &self.claim else {
-            return Verdict::Unfounded;
+            return ApplyResult::NotApplicable;
         };
         if held.request_id != request_id {
-            return Verdict::Claimed { holder: held.holder, request_id: held.request_id.clone() };
+            return ApplyResult::AlreadyClaimed { holder: held.holder, request_id: held.request_id.clone() };
         }
         let tells_more = match self.outcome {
             None => true,
@@ -175,14 +175,14 @@
             Some(Outcome::Answered { .. }) => false,
         };
         if !tells_more {
-            return Verdict::Unfounded;
+            return ApplyResult::NotApplicable;
         }
         self.outcome = Some(outcome.clone());
-        Verdict::Effective
+        ApplyResult::Applied
     }
 }
 
 /// The digest of a request's body as a claim carries it.
-pub fn body_digest(digest: &Digest) -> String {
+pub fn encode_body_digest(digest: &Digest) -> String {
     hex::encode(digest)
 }
--- a/havengrade_core/src/drain.rs
+++ b/havengrade_core/src/drain.rs
@@ -25,7 +25,7 @@
     /// Nothing is left; stop.
     Stop,
     /// The limit is over; stop although requests are in progress.
-    StopLate,
+    StopAtDeadline,
 }
 
 impl DrainState {
@@ -40,13 +40,13 @@
     /// let limit = Duration::from_secs(60);
     /// assert_eq!(state.step(1, limit, since), DrainStep::Wait);
     /// assert_eq!(state.step(0, limit, since), DrainStep::Stop);
-    /// assert_eq!(state.step(1, limit, since + limit), DrainStep::StopLate);
+    /// assert_eq!(state.step(1, limit, since + limit), DrainStep::StopAtDeadline);
     /// ```
     pub fn step(&self, unfinished: usize, limit: Duration, now: SystemTime) -> DrainStep {
         match self {
             Self::Serving => DrainStep::Serve,
             Self::Draining { .. } if unfinished == 0 => DrainStep::Stop,
-            Self::Draining { since } if now >= *since + limit => DrainStep::StopLate,
+            Self::Draining { since } if now >= *since + limit => DrainStep::StopAtDeadline,
             Self::Draining { .. } => DrainStep::Wait,
         }
     }
--- a/havengrade_core/src/evidence.rs
+++ b/havengrade_core/src/evidence.rs
@@ -59,7 +59,7 @@
 
 /// Which answers a tally is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Subject {
+pub struct TallyKey {
     /// The request class.
     pub class: ClassId,
     /// The version.
@@ -68,20 +68,20 @@
 
 /// Tallies summed over all writers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Totals {
+pub struct EvidenceTotals {
     /// Roll-outs that the evidence speaks against; they are halted here before the log says so.
-    pub halted: BTreeSet<RolloutId>,
+    pub halted_rollouts: BTreeSet<RolloutId>,
     by_class: HashMap<ClassId, HashMap<VersionId, Tally>>,
 }
 
-impl Totals {
+impl EvidenceTotals {
     /// The tally of a version in a class.
     pub fn get(&self, class: &str, version: &str) -> Tally {
         self.by_class.get(class).and_then(|versions| versions.get(version)).copied().unwrap_or_default()
     }
 
     /// Sets the tally of a subject.
-    pub fn set(&mut self, subject: &Subject, tally: Tally) {
+    pub fn set(&mut self, subject: &TallyKey, tally: Tally) {
         self.by_class.entry(subject.class.clone()).or_default().insert(subject.version.clone(), tally);
     }
 }
@@ -89,9 +89,9 @@
 /// The tallies of all VMs that have been heard from.
 ///
 /// ```
-/// use havengrade_core::evidence::{Evidence, Subject, Tally};
+/// use havengrade_core::evidence::{Evidence, TallyKey, Tally};
 ///
-/// let subject = Subject { class: "tag".into(), version: "swift@1".into() };
+/// let subject = TallyKey { class: "tag".into(), version: "swift@1".into() };
 /// let mut evidence = Evidence::default();
 /// evidence.record(&subject, 1, Tally { ended: 2, ..Tally::default() });
 /// evidence.merge(&subject, 2, Tally { ended: 3, ..Tally::default() });
@@ -100,13 +100,13 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    by_writer: HashMap<Subject, HashMap<Incarnation, Tally>>,
-    totals: Totals,
+    by_writer: HashMap<TallyKey, HashMap<Incarnation, Tally>>,
+    totals: EvidenceTotals,
 }
 
 impl Evidence {
     /// Takes a writer's tally; an older one than is known has no effect.
-    pub fn merge(&mut self, subject: &Subject, writer: Incarnation, tally: Tally) {
+    pub fn merge(&mut self, subject: &TallyKey, writer: Incarnation, tally: Tally) {
         let writers = self.by_writer.entry(subject.clone()).or_default();
         let known = writers.entry(writer).or_default();
         if tally.ended + tally.rated <= known.ended + known.rated {
@@ -118,30 +118,30 @@
     }
 
     /// Adds to a writer's own tally.
-    pub fn record(&mut self, subject: &Subject, writer: Incarnation, more: Tally) {
-        let known = self.own(subject, writer);
+    pub fn record(&mut self, subject: &TallyKey, writer: Incarnation, more: Tally) {
+        let known = self.writer_tally(subject, writer);
         self.merge(subject, writer, known.plus(&more));
     }
 
     /// A writer's own tally.
-    pub fn own(&self, subject: &Subject, writer: Incarnation) -> Tally {
+    pub fn writer_tally(&self, subject: &TallyKey, writer: Incarnation) -> Tally {
         let writers = self.by_writer.get(subject);
         writers.and_then(|writers| writers.get(&writer)).copied().unwrap_or_default()
     }
 
     /// What there are tallies of.
-    pub fn subjects(&self) -> impl Iterator<Item = &Subject> {
+    pub fn keys(&self) -> impl Iterator<Item = &TallyKey> {
         self.by_writer.keys()
     }
 
     /// How many writers' tallies are known.
-    pub fn writers(&self) -> usize {
+    pub fn writer_count(&self) -> usize {
         let writers: BTreeSet<&Incarnation> = self.by_writer.values().flat_map(HashMap::keys).collect();
         writers.len()
     }
 
     /// The sums over all writers.
-    pub fn totals(&self) -> &Totals {
+    pub fn totals(&self) -> &EvidenceTotals {
         &self.totals
     }
 }
--- a/havengrade_core/src/ledger.rs
+++ b/havengrade_core/src/ledger.rs
@@ -10,8 +10,8 @@
 
 use crate::{
     billing::Bill,
-    claim::{Claim, ClaimKey, Held, KeyState, Outcome, Verdict},
-    cost::Usage,
+    claim::{ActiveClaim, ApplyResult, Claim, ClaimKey, KeyState, Outcome},
+    cost::TokenUsage,
     ids::{Attempt, Incarnation, Offset, RequestId},
 };
 
@@ -76,7 +76,7 @@
     }
 
     /// The settlement of a claim whose holder is gone: it may have run, and owes nothing that is known.
-    pub fn abandoned(key: &ClaimKey, claim: &Held, now: SystemTime) -> Self {
+    pub fn settle_abandoned(key: &ClaimKey, claim: &ActiveClaim, now: SystemTime) -> Self {
         let bill = Bill {
             request_id: claim.request_id.clone(),
             account: key.account.clone(),
@@ -84,7 +84,7 @@
             class: claim.class.clone(),
             version: None,
             endpoint: claim.endpoint.clone(),
-            usage: Usage::default(),
+            usage: TokenUsage::default(),
             cost: 0,
             at: now,
         };
@@ -123,7 +123,7 @@
     /// Offset after the last batch that was replayed.
     pub next_offset: Offset,
     /// The newest time in any batch.
-    pub newest: Option<SystemTime>,
+    pub newest_at: Option<SystemTime>,
     keys: HashMap<Arc<ClaimKey>, Entry>,
     requests: HashMap<RequestId, Arc<ClaimKey>>,
     /// Keys by when they were first seen, or found to have changed since.
@@ -136,7 +136,7 @@
     ///
     /// A batch that stands twice, or that its writer had given up before it wrote a later one, has no
     /// effect: `None`.
-    pub fn replay(&mut self, offset: Offset, batch: &Batch) -> Option<Vec<Verdict>> {
+    pub fn replay(&mut self, offset: Offset, batch: &Batch) -> Option<Vec<ApplyResult>> {
         if offset < self.next_offset {
             return None;
         }
@@ -146,16 +146,16 @@
             return None;
         }
         *last_seq = batch.seq;
-        self.newest = self.newest.max(Some(batch.at));
+        self.newest_at = self.newest_at.max(Some(batch.at));
         Some(batch.records.iter().map(|record| self.apply(record, batch.at)).collect())
     }
 
-    fn apply(&mut self, record: &LedgerRecord, at: SystemTime) -> Verdict {
+    fn apply(&mut self, record: &LedgerRecord, at: SystemTime) -> ApplyResult {
         match record {
             LedgerRecord::Claim(claim) => {
                 let verdict = self.entry(&claim.key, at).claim(claim);
-                if verdict == Verdict::Effective {
-                    self.note_request(claim);
+                if verdict == ApplyResult::Applied {
+                    self.record_request(claim);
                 }
                 verdict
             },
@@ -164,27 +164,27 @@
             },
             LedgerRecord::Settle { key, request_id, outcome, .. } => self.entry(key, at).settle(request_id, outcome),
             LedgerRecord::Ran { claim, outcome, .. } => self.apply_ran(claim, outcome, at),
-            LedgerRecord::Bill(_) => Verdict::Unfounded,
+            LedgerRecord::Bill(_) => ApplyResult::NotApplicable,
         }
     }
 
-    fn apply_ran(&mut self, claim: &Claim, outcome: &Outcome, at: SystemTime) -> Verdict {
+    fn apply_ran(&mut self, claim: &Claim, outcome: &Outcome, at: SystemTime) -> ApplyResult {
         let state = self.entry(&claim.key, at);
         // It is a fact that it ran, so a refusal that stands before it has no say; another claim has.
-        let held = state.claim.get_or_insert_with(|| Held::from(claim));
+        let held = state.claim.get_or_insert_with(|| ActiveClaim::from(claim));
         if held.request_id != claim.request_id {
-            let verdict = Verdict::Claimed { holder: held.holder, request_id: held.request_id.clone() };
+            let verdict = ApplyResult::AlreadyClaimed { holder: held.holder, request_id: held.request_id.clone() };
             let first = held.request_id.clone();
             // The endpoint knows the key, so its answer is the one that the first request lost.
             state.settle(&first, outcome);
             return verdict;
         }
         let verdict = state.settle(&claim.request_id, outcome);
-        self.note_request(claim);
+        self.record_request(claim);
         verdict
     }
 
-    fn note_request(&mut self, claim: &Claim) {
+    fn record_request(&mut self, claim: &Claim) {
         if let Some((key, _)) = self.keys.get_key_value(&claim.key) {
             self.requests.insert(claim.request_id.clone(), key.clone());
         }
@@ -203,20 +203,20 @@
     }
 
     /// What is known of a key.
-    pub fn key(&self, key: &ClaimKey) -> Option<&KeyState> {
+    pub fn key_state(&self, key: &ClaimKey) -> Option<&KeyState> {
         self.keys.get(key).map(|entry| &entry.state)
     }
 
     /// The key that a request holds, and what is known of it.
-    pub fn request(&self, request_id: &str) -> Option<(&ClaimKey, &KeyState)> {
+    pub fn claimed_request(&self, request_id: &str) -> Option<(&ClaimKey, &KeyState)> {
         let key = self.requests.get(request_id)?;
-        let state = self.key(key)?;
+        let state = self.key_state(key)?;
         let holds = state.claim.as_ref().is_some_and(|claim| claim.request_id == request_id);
         holds.then_some((key, state))
     }
 
     /// Claims in effect that have no outcome yet.
-    pub fn unsettled(&self) -> impl Iterator<Item = (&ClaimKey, &Held)> {
+    pub fn unsettled_claims(&self) -> impl Iterator<Item = (&ClaimKey, &ActiveClaim)> {
         self.keys.iter().filter_map(|(key, entry)| {
             let held = entry.state.claim.as_ref()?;
             entry.state.outcome.is_none().then_some((&**key, held))
@@ -236,8 +236,8 @@
     /// Forgets what has not changed within the horizon, counted from the newest time in the stream.
     ///
     /// Unsettled claims are kept, and what is younger than them: to forget one would let its key run again.
-    pub fn forget(&mut self, horizon: Duration) {
-        let Some(cutoff) = self.newest.and_then(|newest| newest.checked_sub(horizon)) else {
+    pub fn evict_settled(&mut self, horizon: Duration) {
+        let Some(cutoff) = self.newest_at.and_then(|newest| newest.checked_sub(horizon)) else {
             return;
         };
         while self.ages.front().is_some_and(|(at, _)| *at < cutoff) {
--- a/havengrade_core/src/lib.rs
+++ b/havengrade_core/src/lib.rs
@@ -8,15 +8,15 @@
 
 pub mod admission;
 mod answered;
-pub mod append;
+pub mod append_budget;
 pub mod billing;
 mod blame;
 pub mod cascade;
 pub mod claim;
 pub mod config;
 pub mod cost;
-pub mod decision;
 pub mod drain;
+pub mod endpoint_selection;
 pub mod evidence;
 mod gossip;
 mod hold;
@@ -28,8 +28,8 @@
 pub mod quarantine;
 mod quarantine_news;
 pub mod ranking;
-pub mod retry;
+pub mod retry_budget;
 pub mod rollout;
+pub mod routing;
 pub mod secret;
-pub mod selection;
 pub mod session;
--- a/havengrade_core/src/membership.rs
+++ b/havengrade_core/src/membership.rs
@@ -47,7 +47,7 @@
     pub in_progress: u32,
 }
 
-/// A VM and the last that was heard of it.
+/// A VM and the last heartbeat received from it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// The VM as listed.
@@ -55,9 +55,9 @@
     /// Its last heartbeat.
     pub heartbeat: Option<Heartbeat>,
     /// When that was received.
-    pub heard: Option<SystemTime>,
+    pub last_received: Option<SystemTime>,
     /// When we asked for the last heartbeat that it answered; what it knew then it knew no earlier.
-    pub asked: Option<SystemTime>,
+    pub last_requested: Option<SystemTime>,
 }
 
 /// The VMs of the deployment.
@@ -68,13 +68,13 @@
 
 impl Membership {
     /// Takes over the platform's list.
-    pub fn list(&mut self, vms: Vec<ListedVm>) {
+    pub fn replace_listed(&mut self, vms: Vec<ListedVm>) {
         let mut old = std::mem::take(&mut self.members);
         for listed in vms {
             let known = old.remove(&listed.id);
             let member = match known {
                 Some(member) => Member { listed, ..member },
-                None => Member { listed, heartbeat: None, heard: None, asked: None },
+                None => Member { listed, heartbeat: None, last_received: None, last_requested: None },
             };
             self.members.insert(member.listed.id.clone(), member);
         }
@@ -83,7 +83,7 @@
     /// Takes a heartbeat; one that is older than the last of the same run is passed over.
     ///
     /// `asked` is when it was asked for, or none where it came unasked.
-    pub fn hear(&mut self, heartbeat: Heartbeat, now: SystemTime, asked: Option<SystemTime>) {
+    pub fn record_heartbeat(&mut self, heartbeat: Heartbeat, now: SystemTime, asked: Option<SystemTime>) {
         let Some(member) = self.members.get_mut(&heartbeat.vm) else {
             return;
         };
@@ -95,8 +95,8 @@
             return;
         }
         member.heartbeat = Some(heartbeat);
-        member.heard = Some(now);
-        member.asked = member.asked.max(asked);
+        member.last_received = Some(now);
+        member.last_requested = member.last_requested.max(asked);
     }
 
     /// All listed VMs.
@@ -106,7 +106,7 @@
 
     /// VMs heard from within the limit.
     pub fn live(&self, limit: Duration, now: SystemTime) -> impl Iterator<Item = &Member> {
-        let is_live = move |member: &&Member| member.heard.is_some_and(|heard| heard + limit >= now);
+        let is_live = move |member: &&Member| member.last_received.is_some_and(|received| received + limit >= now);
         self.members.values().filter(is_live)
     }
 
@@ -114,11 +114,18 @@
     ///
     /// Only VMs count that know no record past `own_next`, and only from when they were asked, since a
     /// heartbeat that came unasked may be old. The VM itself, `own`, always counts.
-    pub fn majority_until(&self, own: &str, own_next: Offset, limit: Duration, now: SystemTime) -> Option<SystemTime> {
+    pub fn majority_confirmed_until(
+        &self,
+        own: &str,
+        own_next: Offset,
+        limit: Duration,
+        now: SystemTime,
+    ) -> Option<SystemTime> {
         let knows_nothing_newer =
             |member: &&Member| member.heartbeat.as_ref().is_some_and(|last| last.config_next <= own_next);
         let others = self.members.values().filter(|member| member.listed.id != own);
-        let mut asked: Vec<SystemTime> = others.filter(knows_nothing_newer).filter_map(|member| member.asked).collect();
+        let mut asked: Vec<SystemTime> =
+            others.filter(knows_nothing_newer).filter_map(|member| member.last_requested).collect();
         asked.sort_unstable_by(|a, b| b.cmp(a));
         match self.members.len() / 2 {
             0 => Some(now + limit),
--- a/havengrade_core/src/published/placement.rs
+++ b/havengrade_core/src/published/placement.rs
@@ -11,10 +11,10 @@
 use rand::{Rng, RngExt as _};
 
 use crate::{
+    endpoint_selection::EndpointState,
     ids::EndpointId,
     published::{directory::ListedEndpoint, peers::Work, sent_parts::PrefixKey},
     ranking::rank,
-    selection::EndpointState,
 };
 
 /// Share of the slots that another failure domain costs a plain request, since bytes between them are paid for.
@@ -123,7 +123,7 @@
     let is_usable = |c: &&Candidate<'a>| c.state.is_usable(placement.now);
     let usable: Vec<&Candidate<'a>> = untried.iter().copied().filter(is_usable).collect();
     // Whether an endpoint takes requests again, a first try may find out; there are few others.
-    let is_sure = |c: &&Candidate<'a>| placement.tried.is_empty() || !c.state.rejects;
+    let is_sure = |c: &&Candidate<'a>| placement.tried.is_empty() || !c.state.last_rejected;
     let sure: Vec<&Candidate<'a>> = usable.iter().copied().filter(is_sure).collect();
     let among = [sure, usable, untried].into_iter().find(|some| !some.is_empty())?;
     let elsewhere = elsewhere(candidates, &among, placement.tried);
--- a/havengrade_core/src/rollout.rs
+++ b/havengrade_core/src/rollout.rs
@@ -5,7 +5,7 @@
 use crate::{
     cascade::PRIOR_WEIGHT,
     config::{Account, Config, Rollout, RolloutState},
-    evidence::{Tally, Totals},
+    evidence::{EvidenceTotals, Tally},
     ids::{RolloutId, VersionId},
     secret::spread,
 };
@@ -26,28 +26,35 @@
 
 /// The version that stands in for a planned one, by the roll-out that replaces it.
 ///
-/// `subject` is the session's or request's id. The same subject falls on the same side of a step on
+/// `bucketing_id` is the session's or request's id. The same bucketing_id falls on the same side of a step on
 /// every VM, and a growing share only adds subjects.
-pub fn substitute(cfg: &Config, account: &Account, evidence: &Totals, planned: &VersionId, subject: &str) -> VersionId {
+pub fn version_for(
+    cfg: &Config,
+    account: &Account,
+    evidence: &EvidenceTotals,
+    planned: &VersionId,
+    bucketing_id: &str,
+) -> VersionId {
     let rollout = cfg.rollouts.values().find(|rollout| rollout.from == *planned);
     let Some(rollout) = rollout else {
         return planned.clone();
     };
-    let usable = cfg.is_active(&rollout.to) && account.allows(&rollout.to) && !evidence.halted.contains(&rollout.id);
-    if usable && place(&rollout.id, subject) < u64::from(rollout.share()) {
+    let usable =
+        cfg.is_active(&rollout.to) && account.allows(&rollout.to) && !evidence.halted_rollouts.contains(&rollout.id);
+    if usable && place(&rollout.id, bucketing_id) < u64::from(rollout.share()) {
         return rollout.to.clone();
     }
     planned.clone()
 }
 
-/// Where a subject stands between 0 and 999, evenly spread and the same on every VM.
-fn place(rollout: &str, subject: &str) -> u64 {
-    spread(&[rollout, subject]) % WHOLE
+/// Where a bucketing_id stands between 0 and 999, evenly spread and the same on every VM.
+fn place(rollout: &str, bucketing_id: &str) -> u64 {
+    spread(&[rollout, bucketing_id]) % WHOLE
 }
 
 /// What the evidence says of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judgement {
+pub enum RolloutVerdict {
     /// Nothing yet.
     Wait,
     /// The new version is worse than the old one.
@@ -61,7 +68,7 @@
 /// The tests may be looked at after every answer: each is a bet against "the new version is as good as
 /// the old one", and a bet that such a version makes win a hundredfold has a chance of one in a hundred
 /// (Ville's inequality). They need only sums, so that counters of many VMs can be merged in any order.
-pub fn judge(cfg: &Config, rollout: &Rollout, evidence: &Totals) -> Judgement {
+pub fn evaluate(cfg: &Config, rollout: &Rollout, evidence: &EvidenceTotals) -> RolloutVerdict {
     let (mut ended, mut rated, mut failure_log, mut deficit) = (0, 0, 0.0, 0.0);
     for class in cfg.classes.keys() {
         let new = evidence.get(class, &rollout.to);
@@ -73,11 +80,11 @@
     }
     let threshold = -(FALSE_ALARM / 2.0).ln();
     if failure_log > threshold || quality_bet(deficit, rated as f64) > threshold {
-        return Judgement::Halt;
+        return RolloutVerdict::Halt;
     }
     let has_enough = rollout.step_evidence > 0 && ended >= rollout.step_evidence * (rollout.step as u64 + 1);
     let is_last = rollout.step + 1 >= rollout.steps.len();
-    if has_enough && !is_last { Judgement::Advance } else { Judgement::Wait }
+    if has_enough && !is_last { RolloutVerdict::Advance } else { RolloutVerdict::Wait }
 }
 
 /// Logarithm of the bet that the new version fails more often.
@@ -104,20 +111,20 @@
 }
 
 /// Running roll-outs whose evidence speaks for a halt.
-pub fn halted(cfg: &Config, evidence: &Totals) -> BTreeSet<RolloutId> {
-    let is_bad = |rollout: &&Rollout| judge(cfg, rollout, evidence) == Judgement::Halt;
+pub fn rollouts_to_halt(cfg: &Config, evidence: &EvidenceTotals) -> BTreeSet<RolloutId> {
+    let is_bad = |rollout: &&Rollout| evaluate(cfg, rollout, evidence) == RolloutVerdict::Halt;
     let running = cfg.rollouts.values().filter(|rollout| rollout.state == RolloutState::Running);
     running.filter(is_bad).map(|rollout| rollout.id.clone()).collect()
 }
 
 /// The roll-out as it should stand by the evidence, if that is another way than it does.
-pub fn next(cfg: &Config, rollout: &Rollout, evidence: &Totals) -> Option<Rollout> {
+pub fn next_state(cfg: &Config, rollout: &Rollout, evidence: &EvidenceTotals) -> Option<Rollout> {
     if rollout.state != RolloutState::Running {
         return None;
     }
-    match judge(cfg, rollout, evidence) {
-        Judgement::Wait => None,
-        Judgement::Halt => Some(Rollout { state: RolloutState::Halted, ..rollout.clone() }),
-        Judgement::Advance => Some(Rollout { step: rollout.step + 1, ..rollout.clone() }),
+    match evaluate(cfg, rollout, evidence) {
+        RolloutVerdict::Wait => None,
+        RolloutVerdict::Halt => Some(Rollout { state: RolloutState::Halted, ..rollout.clone() }),
+        RolloutVerdict::Advance => Some(Rollout { step: rollout.step + 1, ..rollout.clone() }),
     }
 }
--- a/havengrade_core/src/decision.rs
+++ b/havengrade_core/src/routing.rs
@@ -8,10 +8,10 @@
 use crate::{
     cascade,
     config::{Account, Catalog, Endpoint, MigrationState, RequestClass},
-    evidence::Totals,
+    endpoint_selection::{self, EndpointStates, SelectionContext},
+    evidence::EvidenceTotals,
     ids::{ClassId, EndpointId, Permille, ServiceId, SessionId, VersionId},
     rollout, secret,
-    selection::{self, EndpointStates, Wanted},
     session::{self, SessionError},
 };
 
@@ -27,7 +27,7 @@
     /// Session token, as the caller sent it.
     pub session_token: Option<String>,
     /// Id by which a roll-out places the request: the session's or the request's.
-    pub subject: SessionId,
+    pub bucketing_id: SessionId,
     /// Whether the request has an idempotency key.
     pub has_key: bool,
 }
@@ -38,7 +38,7 @@
     /// To model engines, over these versions in order.
     Engines {
         /// Versions to try, from where the cascade starts.
-        ladder: Vec<VersionId>,
+        versions: Vec<VersionId>,
     },
     /// To a plain service.
     Service {
@@ -54,7 +54,7 @@
 
 /// What was decided about a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Decision {
+pub struct RoutingDecision {
     /// Where it goes.
     pub route: Route,
     /// Its class.
@@ -62,7 +62,7 @@
     /// Time that it has from its arrival.
     pub deadline: Duration,
     /// Whether its version is pinned by a session.
-    pub is_pinned: bool,
+    pub has_session_affinity: bool,
     /// Whether it must hold a claim before it is sent.
     pub needs_claim: bool,
     /// Quality that an answer should reach; none for plain services.
@@ -152,30 +152,30 @@
 /// # Errors
 ///
 /// [`Refusal`] names the field at fault and the remedy; the request did not run.
-pub fn decide(
+pub fn decide_route(
     catalog: &Catalog,
     account: &Account,
     meta: &RequestMeta,
-    evidence: &Totals,
+    evidence: &EvidenceTotals,
     rng: &mut dyn Rng,
     now: SystemTime,
-) -> Result<Decision, Refusal> {
-    let class = class_of(catalog, account, &meta.class)?;
+) -> Result<RoutingDecision, Refusal> {
+    let class = find_class(catalog, account, &meta.class)?;
     ensure!(class.repeatable || meta.has_key, KeyNeededSnafu { class: &class.id });
-    let (route, is_pinned) = route(catalog, account, class, meta, evidence, rng, now)?;
+    let (route, has_session_affinity) = route(catalog, account, class, meta, evidence, rng, now)?;
     let cascade = class.cascade.as_ref().and_then(|cascade| catalog.config.cascades.get(cascade));
-    Ok(Decision {
+    Ok(RoutingDecision {
         route,
         quality_target: cascade.map(|cascade| cascade.quality_target),
         checks_answers: cascade.is_some_and(|cascade| cascade.check_answers),
         class: class.clone(),
         deadline: Duration::from_millis(class.deadline_ms),
-        is_pinned,
+        has_session_affinity,
         needs_claim: !class.repeatable || class.durable,
     })
 }
 
-fn class_of<'a>(catalog: &'a Catalog, account: &Account, class: &ClassId) -> Result<&'a RequestClass, Refusal> {
+fn find_class<'a>(catalog: &'a Catalog, account: &Account, class: &ClassId) -> Result<&'a RequestClass, Refusal> {
     let found = catalog.config.classes.get(class).context(UnknownClassSnafu { class })?;
     ensure!(account.classes.contains(class), ClassNotAllowedSnafu { class });
     Ok(found)
@@ -186,7 +186,7 @@
     account: &Account,
     class: &RequestClass,
     meta: &RequestMeta,
-    evidence: &Totals,
+    evidence: &EvidenceTotals,
     rng: &mut dyn Rng,
     now: SystemTime,
 ) -> Result<(Route, bool), Refusal> {
@@ -200,14 +200,14 @@
         return Ok((Route::Service { service: service.clone() }, false));
     }
     if let Some(token) = &meta.session_token {
-        let version = pinned(catalog, account, class, token, now)?;
-        return Ok((Route::Engines { ladder: vec![version] }, true));
+        let version = affinity_version(catalog, account, class, token, now)?;
+        return Ok((Route::Engines { versions: vec![version] }, true));
     }
-    let ladder = ladder(catalog, account, class, meta, evidence, rng)?;
-    Ok((Route::Engines { ladder }, false))
+    let versions = versions(catalog, account, class, meta, evidence, rng)?;
+    Ok((Route::Engines { versions }, false))
 }
 
-fn pinned(
+fn affinity_version(
     catalog: &Catalog,
     account: &Account,
     class: &RequestClass,
@@ -221,12 +221,12 @@
     Ok(version)
 }
 
-fn ladder(
+fn versions(
     catalog: &Catalog,
     account: &Account,
     class: &RequestClass,
     meta: &RequestMeta,
-    evidence: &Totals,
+    evidence: &EvidenceTotals,
     rng: &mut dyn Rng,
 ) -> Result<Vec<VersionId>, Refusal> {
     let cfg = &catalog.config;
@@ -238,37 +238,39 @@
     let cascade = cascade.context(WrongPathSnafu { class: &class.id })?;
     let planned = cascade::plan(cfg, account, &class.id, cascade, evidence, rng.next_u64());
     ensure!(!planned.versions.is_empty(), NoVersionSnafu { class: &class.id });
-    let place = |version: &VersionId| rollout::substitute(cfg, account, evidence, version, &meta.subject);
+    let place = |version: &VersionId| rollout::version_for(cfg, account, evidence, version, &meta.bucketing_id);
     Ok(planned.versions.iter().map(place).collect())
 }
 
-/// Chooses the endpoint for a version of the ladder, a service or the scripts.
+/// Chooses the endpoint for a version of the versions, a service or the scripts.
 ///
 /// The version is looked at again, since it may have been withdrawn after the request was decided.
-pub fn endpoint<'a>(
+pub fn choose_endpoint<'a>(
     catalog: &'a Catalog,
     route: &Route,
     version: Option<&VersionId>,
     states: &dyn EndpointStates,
-    wanted: Wanted<'_>,
+    context: SelectionContext<'_>,
     rng: &mut dyn Rng,
 ) -> Option<&'a Endpoint> {
     match (route, version) {
         (Route::Engines { .. }, Some(version)) if catalog.config.is_active(version) => {
-            selection::choose(catalog, catalog.engines(version), states, wanted, rng)
+            endpoint_selection::choose(catalog, catalog.engines(version), states, context, rng)
         },
         (Route::Engines { .. }, _) => None,
-        (Route::Service { service }, _) => selection::choose(catalog, catalog.services(service), states, wanted, rng),
+        (Route::Service { service }, _) => {
+            endpoint_selection::choose(catalog, catalog.services(service), states, context, rng)
+        },
         (Route::Scripts { endpoint }, _) => catalog
             .config
             .endpoints
             .get(endpoint)
-            .filter(|found| !wanted.tried.contains(&found.id) && states.state(&found.id).is_usable(wanted.now)),
+            .filter(|found| !context.tried.contains(&found.id) && states.state(&found.id).is_usable(context.now)),
     }
 }
 
-/// Time until the first of the endpoints for a version of the ladder or a service no longer wants rest; none where one of them wants none.
-pub fn rest_left(
+/// Time until the first of the endpoints for a version of the versions or a service no longer wants rest; none where one of them wants none.
+pub fn backoff_left(
     catalog: &Catalog,
     route: &Route,
     version: Option<&VersionId>,
@@ -276,9 +278,11 @@
     now: SystemTime,
 ) -> Option<Duration> {
     match (route, version) {
-        (Route::Engines { .. }, Some(version)) => selection::rest_left(catalog.engines(version), states, now),
+        (Route::Engines { .. }, Some(version)) => {
+            endpoint_selection::backoff_left(catalog.engines(version), states, now)
+        },
         (Route::Engines { .. }, None) => None,
-        (Route::Service { service }, _) => selection::rest_left(catalog.services(service), states, now),
-        (Route::Scripts { endpoint }, _) => states.state(endpoint).rest_left(now),
+        (Route::Service { service }, _) => endpoint_selection::backoff_left(catalog.services(service), states, now),
+        (Route::Scripts { endpoint }, _) => states.state(endpoint).backoff_left(now),
     }
 }
--- a/havengrade_core/src/session.rs
+++ b/havengrade_core/src/session.rs
@@ -50,7 +50,7 @@
     },
     /// The token belongs to another client account or class.
     #[snafu(display("session token: it was given for another client account or class; open a new session"))]
-    NotYours,
+    WrongOwner,
     /// The session has lasted as long as it may.
     #[snafu(display("session token: the session has ended; open a new session"))]
     Expired,
@@ -89,7 +89,7 @@
     mac(key, payload).verify_slice(&tag).ok().context(MalformedSnafu)?;
     let bytes = hex::decode(payload).ok().context(MalformedSnafu)?;
     let session: Session = serde_json::from_slice(&bytes).context(ContentSnafu)?;
-    ensure!(session.account == account && session.class == class, NotYoursSnafu);
+    ensure!(session.account == account && session.class == class, WrongOwnerSnafu);
     ensure!(SystemTime::UNIX_EPOCH + session.ends > now, ExpiredSnafu);
     Ok(session)
 }
--- a/havengrade_core/tests/claims.rs
+++ b/havengrade_core/tests/claims.rs
@@ -8,8 +8,8 @@
 
 use havengrade_core::{
     billing::{Bill, Bills},
-    claim::{Claim, ClaimKey, Outcome, Verdict},
-    cost::Usage,
+    claim::{ApplyResult, Claim, ClaimKey, Outcome},
+    cost::TokenUsage,
     ledger::{Batch, Ledger, LedgerRecord},
 };
 
@@ -42,7 +42,7 @@
         class: "check-in".into(),
         version: None,
         endpoint: "e".into(),
-        usage: Usage::default(),
+        usage: TokenUsage::default(),
         cost: 0,
         at: now(),
     }
@@ -71,7 +71,7 @@
 }
 
 impl World {
-    fn append(&mut self, writer: u64, record: &LedgerRecord) -> Verdict {
+    fn append(&mut self, writer: u64, record: &LedgerRecord) -> ApplyResult {
         let batch = Batch { writer, seq: self.offset + 1, at: now(), records: vec![record.clone()] };
         let verdict = self.ledger.replay(self.offset, &batch).unwrap().remove(0);
         if let Some(bill) = record.bill() {
@@ -85,18 +85,18 @@
     fn step(&mut self, index: usize) -> bool {
         let next = match self.vms[index].clone() {
             Vm::Claiming(claim) => match self.append(claim.holder, &LedgerRecord::Claim(claim.clone())) {
-                Verdict::Effective => {
+                ApplyResult::Applied => {
                     self.sent.push(claim.clone());
                     Vm::Sent(claim)
                 },
-                Verdict::Voided { .. } => Vm::ToldNotRun(claim),
+                ApplyResult::AlreadyVoided { .. } => Vm::ToldNotRun(claim),
                 _ => Vm::Done,
             },
             Vm::Refusing(claim) => {
                 let (up_to, holder, request_id) = (claim.attempt, claim.holder, claim.request_id.clone());
                 let record = LedgerRecord::Void { key: key(), up_to, holder, request_id };
                 match self.append(claim.holder, &record) {
-                    Verdict::Effective => Vm::ToldNotRun(claim),
+                    ApplyResult::Applied => Vm::ToldNotRun(claim),
                     _ => Vm::Done,
                 }
             },
@@ -170,7 +170,7 @@
     ledger.replay(0, &batch(2, LedgerRecord::Claim(claim(1, 2)))).unwrap();
     assert_eq!(ledger.replay(1, &batch(1, LedgerRecord::Claim(claim(1, 1)))), None);
     assert_eq!(ledger.replay(2, &batch(2, LedgerRecord::Claim(claim(1, 2)))), None);
-    assert_eq!(ledger.key(&key()).unwrap().claim.as_ref().unwrap().attempt, 2);
+    assert_eq!(ledger.key_state(&key()).unwrap().claim.as_ref().unwrap().attempt, 2);
 }
 
 #[test]
@@ -191,16 +191,16 @@
         LedgerRecord::Void { key, up_to: 1, holder: 9, request_id: "other".into() }
     };
     ledger.replay(2, &batch(3, 150, other(1))).unwrap();
-    ledger.forget(horizon);
-    assert!(ledger.key(&key()).is_some(), "it changed 60 s ago");
+    ledger.evict_settled(horizon);
+    assert!(ledger.key_state(&key()).is_some(), "it changed 60 s ago");
     ledger.replay(3, &batch(4, 250, other(2))).unwrap();
-    ledger.forget(horizon);
-    assert!(ledger.key(&key()).is_some(), "its claim is open");
+    ledger.evict_settled(horizon);
+    assert!(ledger.key_state(&key()).is_some(), "its claim is open");
     let outcome = Outcome::MayHaveRun;
     let settle = LedgerRecord::Settle { key: key(), request_id: claim(1, 2).request_id, outcome, bill: None };
     ledger.replay(4, &batch(5, 251, settle)).unwrap();
     ledger.replay(5, &batch(6, 400, other(3))).unwrap();
-    ledger.forget(horizon);
-    assert!(ledger.key(&key()).is_none());
-    assert!(ledger.request(&claim(1, 2).request_id).is_none());
+    ledger.evict_settled(horizon);
+    assert!(ledger.key_state(&key()).is_none());
+    assert!(ledger.claimed_request(&claim(1, 2).request_id).is_none());
 }
--- a/havengrade_core/tests/published.rs
+++ b/havengrade_core/tests/published.rs
@@ -8,6 +8,7 @@
 };
 
 use havengrade_core::{
+    endpoint_selection::EndpointState,
     published::{
         attempt::{Attempts, Promise, RunState},
         directory::{Directory, DirectoryEvent, ListedEndpoint, RETURN_GRACE},
@@ -16,7 +17,6 @@
         route::{AnswerShape, Publication, PublishedAccount, PublishedRoute, Repeat, RouteTable, RouteTarget},
         withdrawal::Withdrawal,
     },
-    selection::EndpointState,
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng as _};
--- a/havengrade_replay/src/measure/memory.rs
+++ b/havengrade_replay/src/measure/memory.rs
@@ -2,7 +2,7 @@
 
 use havengrade_core::{
     config::Catalog,
-    evidence::{Evidence, Subject, Tally},
+    evidence::{Evidence, Tally, TallyKey},
     ledger::Ledger,
     membership::{ListedVm, Membership},
 };
@@ -61,7 +61,7 @@
         failure_domain: format!("domain-{}", index % 27),
         leaving: false,
     };
-    members.list((0..count).map(listed).collect());
+    members.replace_listed((0..count).map(listed).collect());
     members
 }
 
@@ -71,7 +71,7 @@
     let mut evidence = Evidence::default();
     for index in 0..tallies {
         let (writer, subject) = (index / SUBJECTS, index % SUBJECTS);
-        let subject = Subject { class: format!("class-{}", subject / 13), version: sample::version(subject % 13).id };
+        let subject = TallyKey { class: format!("class-{}", subject / 13), version: sample::version(subject % 13).id };
         evidence.merge(&subject, writer as u64, Tally { ended: 1, ..Tally::default() });
     }
     evidence
--- a/havengrade_replay/src/measure/sample.rs
+++ b/havengrade_replay/src/measure/sample.rs
@@ -12,7 +12,7 @@
         Account, Base, Cascade, Change, ChangeFile, ChangeRecord, Config, ConfigRecord, Endpoint, EndpointKind, Item,
         ModelVersion, RequestClass, ScopedChange, VersionState,
     },
-    cost::Usage,
+    cost::TokenUsage,
     ledger::{Batch, LedgerRecord},
     secret::digest,
 };
@@ -143,7 +143,7 @@
         class: "check-in".to_owned(),
         version: Some(version(0).id),
         endpoint: "engine-17".to_owned(),
-        usage: Usage { input_tokens: 700, output_tokens: 200 },
+        usage: TokenUsage { input_tokens: 700, output_tokens: 200 },
         cost: 150,
         at: now(),
     }
--- a/havengrade_replay/src/measure/time.rs
+++ b/havengrade_replay/src/measure/time.rs
@@ -8,10 +8,10 @@
 use cpu_time::ThreadTime;
 use havengrade_core::{
     config::{Catalog, Config, ConfigRecord},
-    decision::{RequestMeta, decide, endpoint},
-    evidence::Totals,
+    endpoint_selection::{EndpointState, EndpointStates, SelectionContext},
+    evidence::EvidenceTotals,
     ledger::Ledger,
-    selection::{EndpointState, EndpointStates, Wanted},
+    routing::{RequestMeta, choose_endpoint, decide_route},
 };
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng as _};
 
@@ -78,14 +78,15 @@
     let catalog = Catalog::new(sample::config(10, endpoints));
     let account = sample::account(3);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let meta = RequestMeta { class: "question".to_owned(), subject: "vm-1.x".to_owned(), ..RequestMeta::default() };
-    let evidence = Totals::default();
-    let wanted = Wanted { failure_domain: "domain-1", tried: &[], now: SystemTime::UNIX_EPOCH };
+    let meta =
+        RequestMeta { class: "question".to_owned(), bucketing_id: "vm-1.x".to_owned(), ..RequestMeta::default() };
+    let evidence = EvidenceTotals::default();
+    let wanted = SelectionContext { failure_domain: "domain-1", tried: &[], now: SystemTime::UNIX_EPOCH };
     let total = fastest(|| {
         for _ in 0..DECISIONS {
-            if let Ok(decision) = decide(&catalog, &account, &meta, &evidence, &mut rng, sample::now()) {
+            if let Ok(decision) = decide_route(&catalog, &account, &meta, &evidence, &mut rng, sample::now()) {
                 let version = sample::version(3).id;
-                black_box(endpoint(&catalog, &decision.route, Some(&version), &Idle, wanted, &mut rng));
+                black_box(choose_endpoint(&catalog, &decision.route, Some(&version), &Idle, wanted, &mut rng));
             }
         }
     });
--- a/havengrade_replay/src/policy/engines.rs
+++ b/havengrade_replay/src/policy/engines.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use havengrade_core::{
+    endpoint_selection::{EndpointState, EndpointStates},
     ids::EndpointId,
-    selection::{EndpointState, EndpointStates},
 };
 
 /// Streams that an engine runs at once.
@@ -111,6 +111,6 @@
         let lagging = engine.history.iter().rev().find(|(at, _)| at + LAG_MS <= self.now_ms);
         let reported = lagging.map_or(0, |(_, load)| *load);
         // All requests here are ours, so what was there at the report was ours as well.
-        EndpointState { in_flight: engine.own, reported, own_at_report: reported, ..EndpointState::default() }
+        EndpointState { in_flight: engine.own, reported, own_in_report: reported, ..EndpointState::default() }
     }
 }
--- a/havengrade_replay/src/policy/policies.rs
+++ b/havengrade_replay/src/policy/policies.rs
@@ -5,9 +5,9 @@
 use havengrade_core::{
     cascade::plan,
     config::{Account, Cascade, Catalog},
-    evidence::Totals,
+    endpoint_selection::{EndpointStates, SelectionContext, choose},
+    evidence::EvidenceTotals,
     ids::{EndpointId, VersionId},
-    selection::{EndpointStates, Wanted, choose},
 };
 use rand::{Rng as _, RngExt as _};
 use rand_chacha::ChaCha8Rng;
@@ -69,7 +69,7 @@
     pub(crate) catalog: &'a Catalog,
     pub(crate) account: &'a Account,
     pub(crate) cascade: &'a Cascade,
-    pub(crate) evidence: &'a Totals,
+    pub(crate) evidence: &'a EvidenceTotals,
 }
 
 impl Policy {
@@ -107,7 +107,7 @@
         let candidates = view.catalog.engines(version);
         match self.engines {
             Engines::FewDrawn => {
-                let wanted = Wanted { failure_domain: "", tried: &[], now: SystemTime::UNIX_EPOCH };
+                let wanted = SelectionContext { failure_domain: "", tried: &[], now: SystemTime::UNIX_EPOCH };
                 choose(view.catalog, candidates, states, wanted, rng).map(|endpoint| endpoint.id.clone())
             },
             Engines::RoundRobin => candidates.get(turn % candidates.len().max(1)).cloned(),
--- a/havengrade_replay/src/policy/run.rs
+++ b/havengrade_replay/src/policy/run.rs
@@ -7,8 +7,8 @@
 
 use havengrade_core::{
     config::{Account, Cascade, Catalog, Change, Config, Endpoint, EndpointKind, Item, ModelVersion, VersionState},
-    cost::Usage,
-    evidence::{Subject, Tally, Totals},
+    cost::TokenUsage,
+    evidence::{EvidenceTotals, Tally, TallyKey},
     ids::{EndpointId, VersionId},
 };
 use rand::RngExt as _;
@@ -90,8 +90,8 @@
     engines: Engines,
     events: BinaryHeap<Reverse<(u64, Event)>>,
     progress: Vec<Progress>,
-    evidence: Totals,
-    lessons: Vec<(Subject, Tally)>,
+    evidence: EvidenceTotals,
+    lessons: Vec<(TallyKey, Tally)>,
     turn: usize,
     rng: ChaCha8Rng,
 }
@@ -109,7 +109,7 @@
         catalog,
         events: (0..trace.len()).map(|index| Reverse((trace[index].at_ms, Event::Arrive(index)))).collect(),
         progress: vec![Progress::default(); trace.len()],
-        evidence: Totals::default(),
+        evidence: EvidenceTotals::default(),
         lessons: Vec::new(),
         turn: 0,
         rng: ChaCha8Rng::seed_from_u64(seed),
@@ -159,7 +159,8 @@
         let engine = self.policy.engine(&view, &version, &self.engines, self.turn, &mut self.rng);
         let Some(engine) = engine else { return };
         self.progress[index].engine.clone_from(&engine);
-        let usage = Usage { input_tokens: request.input_tokens.into(), output_tokens: request.output_tokens.into() };
+        let usage =
+            TokenUsage { input_tokens: request.input_tokens.into(), output_tokens: request.output_tokens.into() };
         let cost = self.catalog.config.versions.get(&version).map_or(0, |version| usage.cost(version));
         self.progress[index].cost += cost as f64;
         let work = Work {
@@ -191,7 +192,7 @@
         let is_last = progress.step + 1 == progress.ladder.len();
         let is_poor = score < TARGET;
         let tally = Tally { rated: 1, score: u64::from(score), passed: u64::from(!is_poor), ended: 1, failed: 0 };
-        self.lessons.push((Subject { class: request.class.clone(), version }, tally));
+        self.lessons.push((TallyKey { class: request.class.clone(), version }, tally));
         self.events.push(Reverse((now_ms + EVIDENCE_LAG_MS, Event::Learn(self.lessons.len() - 1))));
         if is_poor && !is_last {
             self.progress[index].step += 1;
--- a/havengrade_replay/src/rollout.rs
+++ b/havengrade_replay/src/rollout.rs
@@ -2,8 +2,8 @@
 
 use havengrade_core::{
     config::{Config, Rollout, RolloutState},
-    evidence::{Subject, Tally, Totals},
-    rollout::{Judgement, judge},
+    evidence::{EvidenceTotals, Tally, TallyKey},
+    rollout::{RolloutVerdict, evaluate},
 };
 use rand::RngExt as _;
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng as _};
@@ -89,7 +89,7 @@
         state: RolloutState::Running,
     };
     let mut outcome = Outcome::default();
-    let (mut known, mut late) = (Totals::default(), Vec::new());
+    let (mut known, mut late) = (EvidenceTotals::default(), Vec::new());
     let mut has_evidence = false;
     for number in 0..trial.requests {
         let has_turned = number >= trial.turns_at;
@@ -132,21 +132,21 @@
     tally.failed > 0 || (tally.rated > 0 && (tally.score as f64) < (old.quality - SPREAD) * WHOLE)
 }
 
-fn learn(known: &mut Totals, (version, tally): (&str, Tally)) {
-    let subject = Subject { class: CLASS.to_owned(), version: version.to_owned() };
+fn learn(known: &mut EvidenceTotals, (version, tally): (&str, Tally)) {
+    let subject = TallyKey { class: CLASS.to_owned(), version: version.to_owned() };
     let sum = known.get(CLASS, version).plus(&tally);
     known.set(&subject, sum);
 }
 
-fn lead(trial: &Trial, leader: Leader, config: &Config, rollout: &mut Rollout, known: &Totals, number: u64) {
+fn lead(trial: &Trial, leader: Leader, config: &Config, rollout: &mut Rollout, known: &EvidenceTotals, number: u64) {
     if rollout.state != RolloutState::Running {
         return;
     }
     match leader {
-        Leader::Evidence => match judge(config, rollout, known) {
-            Judgement::Wait => {},
-            Judgement::Halt => rollout.state = RolloutState::Halted,
-            Judgement::Advance => rollout.step += 1,
+        Leader::Evidence => match evaluate(config, rollout, known) {
+            RolloutVerdict::Wait => {},
+            RolloutVerdict::Halt => rollout.state = RolloutState::Halted,
+            RolloutVerdict::Advance => rollout.step += 1,
         },
         Leader::Schedule => {
             let steps = trial.steps.len() as u64;
--- a/havengrade_router/src/endpoints.rs
+++ b/havengrade_router/src/endpoints.rs
@@ -11,9 +11,9 @@
 
 use arc_swap::ArcSwap;
 use havengrade_core::{
+    endpoint_selection::{EndpointState, EndpointStates},
     ids::EndpointId,
     published::signals::MOST_REST,
-    selection::{EndpointState, EndpointStates},
 };
 
 /// Time for which an endpoint is passed over that turned a request away: a queue gets shorter by some requests in it.
@@ -42,7 +42,7 @@
     /// Prompt tokens that requests of ours in progress there still have to read.
     unread: AtomicU32,
     reported: AtomicU32,
-    own_at_report: AtomicU32,
+    own_in_report: AtomicU32,
     is_leaving: AtomicBool,
     is_silent: AtomicBool,
     failures: AtomicU32,
@@ -64,7 +64,7 @@
             in_flight: AtomicU32::default(),
             unread: AtomicU32::default(),
             reported: AtomicU32::default(),
-            own_at_report: AtomicU32::default(),
+            own_in_report: AtomicU32::default(),
             is_leaving: AtomicBool::default(),
             is_silent: AtomicBool::new(true),
             failures: AtomicU32::default(),
@@ -93,18 +93,18 @@
         EndpointState {
             in_flight: self.in_flight.load(Ordering::Relaxed),
             reported: self.reported.load(Ordering::Relaxed),
-            own_at_report: self.own_at_report.load(Ordering::Relaxed),
+            own_in_report: self.own_in_report.load(Ordering::Relaxed),
             unavailable: self.is_leaving.load(Ordering::Relaxed) || self.is_silent.load(Ordering::Relaxed),
             ejected_until: from_millis(self.ejected_until.load(Ordering::Relaxed)),
-            rest_until: from_millis(self.rest_until.load(Ordering::Relaxed)),
-            rejects: self.rejections.load(Ordering::Relaxed) > 0,
+            backoff_until: from_millis(self.rest_until.load(Ordering::Relaxed)),
+            last_rejected: self.rejections.load(Ordering::Relaxed) > 0,
         }
     }
 
     /// Takes over a load report that was asked for when `own` requests of ours were there.
     pub fn report(&self, load: u32, own: u32) {
         self.reported.store(load, Ordering::Relaxed);
-        self.own_at_report.store(own.min(load), Ordering::Relaxed);
+        self.own_in_report.store(own.min(load), Ordering::Relaxed);
     }
 
     /// Notes a sign of the endpoint.
--- a/havengrade_router/src/published/choose.rs
+++ b/havengrade_router/src/published/choose.rs
@@ -3,6 +3,7 @@
 use std::time::SystemTime;
 
 use havengrade_core::{
+    endpoint_selection::EndpointStates as _,
     published::{
         directory::ListedEndpoint,
         peers::Work,
@@ -12,7 +13,6 @@
         sent_parts::Prefix,
         times::Load,
     },
-    selection::EndpointStates as _,
 };
 
 use crate::published::{
--- a/havengrade_router/src/published/events.rs
+++ b/havengrade_router/src/published/events.rs
@@ -330,7 +330,7 @@
                 },
                 Err(state) => {
                     if state == RunState::NotSent {
-                        self.cx.shared.retries.put_back(&job.service);
+                        self.cx.shared.retries.refund(&job.service);
                     }
                     job.attempts.note(state);
                 },
--- a/havengrade_router/src/published/forward.rs
+++ b/havengrade_router/src/published/forward.rs
@@ -158,7 +158,7 @@
     note_session(cx, job, &chosen.endpoint.version, cx.shared.clock.now());
     let opened = open(cx, job, chosen, None).await;
     if job.attempts.is_repeat() && matches!(opened, Err(RunState::NotSent)) {
-        cx.shared.retries.put_back(&job.service);
+        cx.shared.retries.refund(&job.service);
     }
     Ok(opened)
 }
@@ -208,7 +208,7 @@
     let mut after = job.attempts.clone();
     after.note(RunState::Ran);
     let now = cx.shared.clock.now();
-    if !after.may_try_again() || job.is_trial || !cx.shared.retries.take_spare(&job.service) {
+    if !after.may_try_again() || job.is_trial || !cx.shared.retries.try_acquire_spare(&job.service) {
         return None;
     }
     let took = now.duration_since(opened.made.sent).unwrap_or_default();
--- a/havengrade_router/src/published/program.rs
+++ b/havengrade_router/src/published/program.rs
@@ -129,7 +129,7 @@
             match state.step(unfinished, stop_limit(&self.cx), self.cx.shared.clock.now()) {
                 DrainStep::Serve | DrainStep::Wait => sleep(DRAIN_LOOK).await,
                 DrainStep::Stop => return true,
-                DrainStep::StopLate => return false,
+                DrainStep::StopAtDeadline => return false,
             }
         }
     }
--- a/havengrade_router/src/published/retries.rs
+++ b/havengrade_router/src/published/retries.rs
@@ -8,7 +8,7 @@
     },
 };
 
-use havengrade_core::{ids::ServiceId, retry::RetryBudget};
+use havengrade_core::{ids::ServiceId, retry_budget::RetryBudget};
 
 use crate::shared::lock;
 
@@ -37,27 +37,27 @@
     pub fn tune(&self, ratio: f64) {
         let percent = earned_percent(ratio);
         self.earned_percent.store(percent, Ordering::Relaxed);
-        lock(&self.budgets).values_mut().for_each(|budget| budget.set_earned(percent));
+        lock(&self.budgets).values_mut().for_each(|budget| budget.set_retry_percent(percent));
     }
 
     /// Notes a first try at a service.
     pub fn earn(&self, service: &str) {
-        self.with_budget(service, RetryBudget::earn);
+        self.with_budget(service, RetryBudget::record_first_try);
     }
 
     /// Takes a retry at a service, if there is one.
     pub fn take(&self, service: &str) -> bool {
-        self.with_budget(service, RetryBudget::take)
+        self.with_budget(service, RetryBudget::try_acquire)
     }
 
     /// Puts a retry at a service back, since nothing was sent.
-    pub fn put_back(&self, service: &str) {
-        self.with_budget(service, RetryBudget::put_back);
+    pub fn refund(&self, service: &str) {
+        self.with_budget(service, RetryBudget::refund);
     }
 
     /// Takes a retry at a service, if one more stays for failures.
-    pub fn take_spare(&self, service: &str) -> bool {
-        self.with_budget(service, RetryBudget::take_spare)
+    pub fn try_acquire_spare(&self, service: &str) -> bool {
+        self.with_budget(service, RetryBudget::try_acquire_spare)
     }
 
     fn with_budget<T>(&self, service: &str, act: impl FnOnce(&mut RetryBudget) -> T) -> T {
@@ -66,7 +66,7 @@
             return act(budget);
         }
         let percent = self.earned_percent.load(Ordering::Relaxed);
-        act(budgets.entry(service.to_owned()).or_insert_with(|| RetryBudget::with_savings(percent, SAVED_RETRIES)))
+        act(budgets.entry(service.to_owned()).or_insert_with(|| RetryBudget::with_max_saved(percent, SAVED_RETRIES)))
     }
 }
 
--- a/havengrade_router/src/router.rs
+++ b/havengrade_router/src/router.rs
@@ -134,7 +134,7 @@
             match state.step(self.unfinished().await, limit, now) {
                 DrainStep::Serve | DrainStep::Wait => sleep(DRAIN_LOOK).await,
                 DrainStep::Stop => return true,
-                DrainStep::StopLate => return false,
+                DrainStep::StopAtDeadline => return false,
             }
         }
     }
--- a/havengrade_router/src/services/evidence.rs
+++ b/havengrade_router/src/services/evidence.rs
@@ -8,7 +8,7 @@
 
 use havengrade_core::{
     config::{Change, ChangeRecord, Config, Item, Rollout, RolloutState, ScopedChange},
-    evidence::{Evidence, Subject, Tally},
+    evidence::{Evidence, Tally, TallyKey},
     ids::{ChangeId, Incarnation, Offset},
     rollout,
 };
@@ -29,13 +29,13 @@
 /// What the service is told and asked.
 pub enum EvidenceMessage {
     /// Another VM's counters.
-    Merge(Incarnation, Vec<(Subject, Tally)>),
+    Merge(Incarnation, Vec<(TallyKey, Tally)>),
     /// Own counters that have changed since the last call, or all of them.
     Own {
         /// Whether all are asked for.
         all: bool,
         /// Is given the counters.
-        reply: RpcReplyPort<Vec<(Subject, Tally)>>,
+        reply: RpcReplyPort<Vec<(TallyKey, Tally)>>,
     },
     /// Time to publish.
     Tick,
@@ -48,7 +48,7 @@
 pub(crate) struct EvidenceState {
     cx: Context,
     evidence: Evidence,
-    own: BTreeMap<Subject, bool>,
+    own: BTreeMap<TallyKey, bool>,
     is_dirty: bool,
     /// Revision for which the roll-outs were last judged.
     judged: Option<Offset>,
@@ -105,20 +105,20 @@
         }
     }
 
-    fn merge(&mut self, writer: Incarnation, tallies: &[(Subject, Tally)]) {
+    fn merge(&mut self, writer: Incarnation, tallies: &[(TallyKey, Tally)]) {
         for (subject, tally) in tallies {
             self.evidence.merge(subject, writer, *tally);
         }
         self.is_dirty |= !tallies.is_empty();
     }
 
-    fn take_own(&mut self, all: bool) -> Vec<(Subject, Tally)> {
+    fn take_own(&mut self, all: bool) -> Vec<(TallyKey, Tally)> {
         let writer = self.cx.shared.incarnation;
         let mut taken = Vec::new();
         for (subject, has_changed) in &mut self.own {
             if all || *has_changed {
                 *has_changed = false;
-                taken.push((subject.clone(), self.evidence.own(subject, writer)));
+                taken.push((subject.clone(), self.evidence.writer_tally(subject, writer)));
             }
         }
         taken
@@ -132,9 +132,9 @@
         }
         self.judged = catalog.config.revision;
         let mut totals = self.evidence.totals().clone();
-        totals.halted = rollout::halted(&catalog.config, &totals);
+        totals.halted_rollouts = rollout::rollouts_to_halt(&catalog.config, &totals);
         for item in catalog.config.rollouts.values() {
-            if let Some(next) = rollout::next(&catalog.config, item, &totals) {
+            if let Some(next) = rollout::next_state(&catalog.config, item, &totals) {
                 self.propose(&catalog.config, &next);
             }
         }
--- a/havengrade_router/src/services/ledger.rs
+++ b/havengrade_router/src/services/ledger.rs
@@ -10,7 +10,7 @@
 };
 
 use havengrade_core::{
-    claim::{ClaimKey, KeyState, Verdict},
+    claim::{ApplyResult, ClaimKey, KeyState},
     ids::{Attempt, Incarnation, Offset, RequestId},
     ledger::{Batch, Ledger, LedgerRecord},
     secret::spread,
@@ -139,10 +139,10 @@
             LedgerMessage::Appended => {},
             LedgerMessage::Held(requests) => state.outbox.held(&requests),
             LedgerMessage::Key(key, reply) => {
-                let _ = reply.send(state.ledger.key(&key).cloned());
+                let _ = reply.send(state.ledger.key_state(&key).cloned());
             },
             LedgerMessage::Request(id, reply) => {
-                let _ = reply.send(state.ledger.request(&id).map(|(key, state)| (key.clone(), state.clone())));
+                let _ = reply.send(state.ledger.claimed_request(&id).map(|(key, state)| (key.clone(), state.clone())));
             },
             LedgerMessage::IsEmpty(reply) => {
                 let _ = reply.send(state.outbox.is_empty());
@@ -189,7 +189,7 @@
         }
         let after = slice.records.last().map_or(slice.first, |record| record.offset + 1);
         self.next.fetch_max(after, Ordering::AcqRel);
-        self.ledger.forget(Duration::from_secs(self.cx.shared.settings.claims.horizon_s));
+        self.ledger.evict_settled(Duration::from_secs(self.cx.shared.settings.claims.horizon_s));
     }
 
     fn replay(&mut self, offset: Offset, batch: &Batch) {
@@ -209,9 +209,9 @@
     }
 
     /// Gives back claims that landed after this VM had given them up; it never sent them.
-    fn give_back(&mut self, records: &[LedgerRecord], verdicts: &[Verdict]) {
+    fn give_back(&mut self, records: &[LedgerRecord], verdicts: &[ApplyResult]) {
         for (record, verdict) in records.iter().zip(verdicts) {
-            if let (LedgerRecord::Claim(claim), Verdict::Effective) = (record, verdict) {
+            if let (LedgerRecord::Claim(claim), ApplyResult::Applied) = (record, verdict) {
                 let (key, up_to): (_, Attempt) = (claim.key.clone(), claim.attempt);
                 let (holder, request_id) = (claim.holder, claim.request_id.clone());
                 self.outbox.push(LedgerRecord::Void { key, up_to, holder, request_id }, None);
@@ -252,11 +252,11 @@
         };
         let abandoned: Vec<LedgerRecord> = self
             .ledger
-            .unsettled()
+            .unsettled_claims()
             .filter(|(_, claim)| claim.holder != self.cx.shared.incarnation)
             .filter(|(_, claim)| is_old(claim.at) && !self.live.contains_key(&claim.holder))
             .filter(|(key, claim)| is_ours(key, claim.at))
-            .map(|(key, claim)| LedgerRecord::abandoned(key, claim, now))
+            .map(|(key, claim)| LedgerRecord::settle_abandoned(key, claim, now))
             .collect();
         for record in abandoned {
             let is_on_its_way = record.request_id().is_some_and(|id| self.outbox.has(id));
--- a/havengrade_router/src/services/members/mod.rs
+++ b/havengrade_router/src/services/members/mod.rs
@@ -154,7 +154,7 @@
         if let Some(peers) = self.cx.find::<PeersMessage>(peers::NAME) {
             let _ = peers.cast(PeersMessage::Listed(listing.entries.clone()));
         }
-        self.membership.list(listing.entries);
+        self.membership.replace_listed(listing.entries);
     }
 
     fn members(&self) -> Vec<(Member, bool)> {
@@ -166,9 +166,9 @@
             let mut member = member.clone();
             if member.listed.id == *self.cx.shared.vm() {
                 member.heartbeat = Some(own.clone());
-                member.heard = Some(now);
+                member.last_received = Some(now);
             }
-            let is_live = member.heard.is_some_and(|heard| heard + silence >= now);
+            let is_live = member.last_received.is_some_and(|heard| heard + silence >= now);
             (member, is_live)
         };
         self.membership.members().map(with_life).collect()
@@ -278,7 +278,7 @@
         let catalog = self.cx.shared.catalog.load();
         let mut admission = self.cx.shared.admission();
         for account in catalog.config.accounts.keys() {
-            admission.set_elsewhere(account, sums.get(account).copied().unwrap_or_default());
+            admission.set_in_progress_elsewhere(account, sums.get(account).copied().unwrap_or_default());
         }
     }
 
@@ -286,7 +286,7 @@
     fn judge_majority(&self) {
         let shared = &self.cx.shared;
         let own_next = shared.config_next();
-        let until = self.membership.majority_until(shared.vm(), own_next, self.silence(), shared.clock.now());
+        let until = self.membership.majority_confirmed_until(shared.vm(), own_next, self.silence(), shared.clock.now());
         if let Some(until) = until {
             shared.set_majority_until(until);
             // A VM that starts while the log is away is caught up once a majority knows nothing newer.
@@ -353,13 +353,14 @@
         self.uses.insert(heartbeat.vm.clone(), message.uses.unwrap_or_default());
         self.fetch_newer(&heartbeat);
         self.note_successor(&heartbeat);
-        self.membership.hear(heartbeat, now, asked);
+        self.membership.record_heartbeat(heartbeat, now, asked);
     }
 
     /// Whether a VM has answered us lately, so that what it sends is not likely to have been held up.
     fn is_prompt(&self, vm: &str, now: SystemTime) -> bool {
         let limit = 3 * Duration::from_millis(self.cx.shared.settings.peers.heartbeat_ms);
-        let asked = self.membership.members().find(|member| member.listed.id == vm).and_then(|member| member.asked);
+        let asked =
+            self.membership.members().find(|member| member.listed.id == vm).and_then(|member| member.last_requested);
         asked.is_some_and(|asked| now.duration_since(asked).unwrap_or_default() <= limit)
     }
 
--- a/havengrade_router/src/services/members/wire.rs
+++ b/havengrade_router/src/services/members/wire.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use havengrade_core::{
-    evidence::{Subject, Tally},
+    evidence::{Tally, TallyKey},
     ids::EndpointId,
     membership::Heartbeat,
 };
@@ -37,7 +37,7 @@
 }
 
 /// A tally as a heartbeat carries it.
-pub(super) fn to_wire(subject: &Subject, tally: &Tally) -> EvidenceTally {
+pub(super) fn to_wire(subject: &TallyKey, tally: &Tally) -> EvidenceTally {
     EvidenceTally::new(
         subject.class.clone(),
         subject.version.clone(),
@@ -50,8 +50,8 @@
 }
 
 /// A tally that a heartbeat carried.
-pub(super) fn from_wire(tally: &EvidenceTally) -> (Subject, Tally) {
-    let subject = Subject { class: tally.request_class.clone(), version: tally.version.clone() };
+pub(super) fn from_wire(tally: &EvidenceTally) -> (TallyKey, Tally) {
+    let subject = TallyKey { class: tally.request_class.clone(), version: tally.version.clone() };
     let tally = Tally {
         rated: tally.rated.cast_unsigned(),
         score: tally.score.cast_unsigned(),
--- a/havengrade_router/src/services/outbox.rs
+++ b/havengrade_router/src/services/outbox.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime};
 
 use havengrade_core::{
-    claim::Verdict,
+    claim::ApplyResult,
     ids::{Incarnation, RequestId},
     ledger::{Batch, LedgerRecord},
 };
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Submitted {
     /// It stands in the log; this is how it fared there.
-    Logged(Verdict),
+    Logged(ApplyResult),
     /// It is not in the log yet, but other VMs hold it until it is.
     Held,
     /// It was given up; if it lands after all, what it claims is given back.
@@ -177,7 +177,7 @@
     }
 
     /// Ends a batch that is in, each record with its verdict; tells whether it was the one on its way.
-    pub(super) fn resolve(&mut self, seq: u64, verdicts: Vec<Verdict>) -> bool {
+    pub(super) fn resolve(&mut self, seq: u64, verdicts: Vec<ApplyResult>) -> bool {
         let Some(sent) = self.sent.take_if(|sent| sent.seq == seq) else { return false };
         let mut no_longer_held = Vec::new();
         for (mut pending, verdict) in sent.records.into_iter().zip(verdicts) {
@@ -191,7 +191,7 @@
     /// Ends the batch on its way once the log service has answered that it is in.
     pub(super) fn resolve_all(&mut self, seq: u64) {
         let count = self.sent.as_ref().map_or(0, |sent| sent.records.len());
-        self.resolve(seq, vec![Verdict::Effective; count]);
+        self.resolve(seq, vec![ApplyResult::Applied; count]);
     }
 
     /// Puts the records of an unanswered batch back, to be sent again with those that came since.
--- a/havengrade_router/src/shared.rs
+++ b/havengrade_router/src/shared.rs
@@ -12,13 +12,13 @@
 use arc_swap::ArcSwap;
 use havengrade_core::{
     admission::Admission,
-    append::AppendBudget,
+    append_budget::AppendBudget,
     config::Catalog,
-    evidence::{Subject, Tally, Totals},
+    evidence::{EvidenceTotals, Tally, TallyKey},
     ids::{EndpointId, Incarnation, Offset, VmId},
     membership,
     quarantine::Quarantine,
-    retry::RetryBudget,
+    retry_budget::RetryBudget,
 };
 use rand::Rng;
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng as _};
@@ -36,7 +36,7 @@
     /// When nothing newer existed, as far as is known.
     pub confirmed: SystemTime,
     /// Until when a majority of VMs, none of which knows anything newer, counts as heard.
-    pub majority_until: SystemTime,
+    pub majority_confirmed_until: SystemTime,
     /// Whether the newest known offset has been reached once.
     pub is_caught_up: bool,
 }
@@ -65,7 +65,7 @@
     /// Configuration in force.
     pub catalog: ArcSwap<Catalog>,
     /// Evidence of all VMs.
-    pub evidence: ArcSwap<Totals>,
+    pub evidence: ArcSwap<EvidenceTotals>,
     /// States of the endpoints.
     pub endpoints: EndpointTable,
     /// Requests in progress and kept answers.
@@ -75,7 +75,7 @@
     retries: Mutex<RetryBudget>,
     quarantine: Mutex<Quarantine>,
     appends: Mutex<AppendBudget>,
-    seen: Mutex<HashMap<Subject, Tally>>,
+    seen: Mutex<HashMap<TallyKey, Tally>>,
     rng: Mutex<ChaCha8Rng>,
     live_vms: ArcSwap<Vec<VmId>>,
     loads: Mutex<BTreeMap<EndpointId, EndpointReport>>,
@@ -92,7 +92,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let freshness = Freshness {
             confirmed: SystemTime::UNIX_EPOCH,
-            majority_until: SystemTime::UNIX_EPOCH,
+            majority_confirmed_until: SystemTime::UNIX_EPOCH,
             is_caught_up: false,
         };
         Self {
@@ -146,7 +146,7 @@
     pub fn is_fresh(&self, now: SystemTime) -> bool {
         let freshness = self.freshness.load();
         let max_staleness = Duration::from_millis(self.settings.peers.max_staleness_ms);
-        let hears_majority = freshness.majority_until > now;
+        let hears_majority = freshness.majority_confirmed_until > now;
         freshness.is_caught_up && membership::may_serve(self.staleness(now), hears_majority, max_staleness)
     }
 
@@ -167,7 +167,7 @@
 
     /// Notes until when a majority counts as heard.
     pub fn set_majority_until(&self, until: SystemTime) {
-        self.freshness.rcu(|known| Freshness { majority_until: until, ..**known });
+        self.freshness.rcu(|known| Freshness { majority_confirmed_until: until, ..**known });
     }
 
     /// Notes that the newest offset that a majority knows has been reached.
@@ -272,18 +272,18 @@
     /// The time after which there will be one.
     pub fn take_append(&self, now: SystemTime) -> Result<(), Duration> {
         let share = f64::from(self.settings.log_service.appends_per_second) / f64::from(self.sharers());
-        lock(&self.appends).take(share, now)
+        lock(&self.appends).try_acquire(share, now)
     }
 
     /// Notes how a version answered; it waits here, summed up, until the control thread takes it.
-    pub fn note_evidence(&self, subject: Subject, tally: Tally) {
+    pub fn note_evidence(&self, subject: TallyKey, tally: Tally) {
         let mut seen = lock(&self.seen);
         let sum = seen.entry(subject).or_default();
         *sum = sum.plus(&tally);
     }
 
     /// Takes what was noted since the last call.
-    pub fn take_evidence(&self) -> HashMap<Subject, Tally> {
+    pub fn take_evidence(&self) -> HashMap<TallyKey, Tally> {
         std::mem::take(&mut *lock(&self.seen))
     }
 
--- a/havengrade_router/src/traffic/api.rs
+++ b/havengrade_router/src/traffic/api.rs
@@ -2,7 +2,7 @@
 
 use std::time::SystemTime;
 
-use havengrade_core::cost::Usage;
+use havengrade_core::cost::TokenUsage;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value, json};
 
@@ -82,8 +82,8 @@
         self.choices.first()?.delta.content.as_deref().filter(|content| !content.is_empty())
     }
 
-    pub(crate) fn usage(&self) -> Option<Usage> {
-        self.usage.map(|it| Usage { input_tokens: it.prompt_tokens, output_tokens: it.completion_tokens })
+    pub(crate) fn usage(&self) -> Option<TokenUsage> {
+        self.usage.map(|it| TokenUsage { input_tokens: it.prompt_tokens, output_tokens: it.completion_tokens })
     }
 }
 
@@ -92,7 +92,7 @@
 }
 
 /// A whole answer.
-pub(crate) fn completion(id: &str, version: &str, content: &str, usage: &Usage, at: SystemTime) -> Value {
+pub(crate) fn completion(id: &str, version: &str, content: &str, usage: &TokenUsage, at: SystemTime) -> Value {
     json!({
         "id": id,
         "object": "chat.completion",
--- a/havengrade_router/src/traffic/engine.rs
+++ b/havengrade_router/src/traffic/engine.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use futures::{StreamExt as _, TryStreamExt as _};
-use havengrade_core::{config::Endpoint, cost::Usage};
+use havengrade_core::{config::Endpoint, cost::TokenUsage};
 use http_body_util::{BodyExt as _, Full};
 use hyper::{
     Method, Request, Response,
@@ -71,14 +71,14 @@
 struct OpenStream<'a> {
     call: &'a EngineCall<'a>,
     received: usize,
-    usage: Usage,
+    usage: TokenUsage,
     has_ended: bool,
 }
 
 impl EngineCall<'_> {
     /// Reads the whole answer; each piece is given to the sink once.
-    pub(crate) async fn run(&self, body: &Value, sink: &mut dyn PieceSink) -> Result<Usage, EngineError> {
-        let mut stream = OpenStream { call: self, received: 0, usage: Usage::default(), has_ended: false };
+    pub(crate) async fn run(&self, body: &Value, sink: &mut dyn PieceSink) -> Result<TokenUsage, EngineError> {
+        let mut stream = OpenStream { call: self, received: 0, usage: TokenUsage::default(), has_ended: false };
         let mut opened = self.open(self.start(body)).await;
         if let Err(error) = &opened
             && error.surely_not_sent()
--- a/havengrade_router/src/traffic/job.rs
+++ b/havengrade_router/src/traffic/job.rs
@@ -7,13 +7,13 @@
 
 use havengrade_core::{
     billing::Bill,
-    claim::{Outcome, Verdict},
+    claim::{ApplyResult, Outcome},
     config::Endpoint,
-    cost::Usage,
-    decision::Route,
-    evidence::{Subject, Tally},
+    cost::TokenUsage,
+    evidence::{Tally, TallyKey},
     ids::{EndpointId, Permille, VersionId},
     ledger::LedgerRecord,
+    routing::Route,
     session::{self, Session},
 };
 use hyper::StatusCode;
@@ -78,7 +78,7 @@
 
 async fn carry_out(job: &Job, work: &Work) -> End {
     match (work, &job.decision.route) {
-        (Work::Chat(chat), Route::Engines { ladder }) => climb(job, chat, ladder).await,
+        (Work::Chat(chat), Route::Engines { versions }) => climb(job, chat, versions).await,
         (Work::Chat(_), _) => plain::call(job, "application/json", "/v1/chat/completions").await,
         (Work::Plain { content_type, path }, _) => plain::call(job, content_type, path).await,
     }
@@ -122,7 +122,7 @@
 struct VersionAnswer {
     content: String,
     endpoint: EndpointId,
-    usage: Usage,
+    usage: TokenUsage,
 }
 
 /// Passes pieces on to the caller and collects them.
@@ -222,8 +222,8 @@
 pub(crate) fn next_endpoint(job: &Job, version: Option<&VersionId>, tried: &[EndpointId]) -> Option<Endpoint> {
     let shared = &job.cx.shared;
     if tried.is_empty() {
-        shared.retries().earn();
-    } else if tried.len() >= shared.settings.endpoints.max_tries as usize || !shared.retries().take() {
+        shared.retries().record_first_try();
+    } else if tried.len() >= shared.settings.endpoints.max_tries as usize || !shared.retries().try_acquire() {
         return None;
     }
     job.choose(version, tried)
@@ -247,7 +247,7 @@
     }
     let record = LedgerRecord::Claim(job.claim(keyed, &endpoint.id));
     match ledger::submit(&job.cx, record).await {
-        Submitted::Logged(Verdict::Effective) => {
+        Submitted::Logged(ApplyResult::Applied) => {
             job.is_claimed.store(true, Ordering::Release);
             Ok(())
         },
@@ -294,15 +294,18 @@
     problem
 }
 
-fn spend(job: &Job, version: &VersionId, usage: Usage, spent: &mut Spent) {
+fn spend(job: &Job, version: &VersionId, usage: TokenUsage, spent: &mut Spent) {
     let catalog = job.cx.shared.catalog.load();
     spent.usage = spent.usage.plus(&usage);
     spent.cost += catalog.config.versions.get(version).map_or(0, |version| usage.cost(version));
 }
 
 fn head(job: &Job, version: &VersionId, endpoint: &EndpointId) -> Head {
-    let session =
-        if job.decision.class.pins_sessions && !job.decision.is_pinned { new_session(job, version) } else { None };
+    let session = if job.decision.class.pins_sessions && !job.decision.has_session_affinity {
+        new_session(job, version)
+    } else {
+        None
+    };
     Head { version: Some(version.clone()), endpoint: endpoint.clone(), session }
 }
 
@@ -366,7 +369,7 @@
 }
 
 fn note_end(job: &Job, version: &VersionId, succeeded: bool) {
-    let subject = Subject { class: job.decision.class.id.clone(), version: version.clone() };
+    let subject = TallyKey { class: job.decision.class.id.clone(), version: version.clone() };
     let tally = Tally { ended: 1, failed: u64::from(!succeeded), ..Tally::default() };
     job.cx.shared.note_evidence(subject, tally);
 }
@@ -374,7 +377,7 @@
 /// Has an answer rated: now, where it decides whether to go on, else later and only a share of them.
 async fn check(job: &Job, chat: &ChatRequest, version: &VersionId, answer: &str) -> Option<Permille> {
     let rating = job.cx.rating.clone()?;
-    let subject = Subject { class: job.decision.class.id.clone(), version: version.clone() };
+    let subject = TallyKey { class: job.decision.class.id.clone(), version: version.clone() };
     let request = RatingRequest {
         class: subject.class.clone(),
         version: version.clone(),
--- a/havengrade_router/src/traffic/plain.rs
+++ b/havengrade_router/src/traffic/plain.rs
@@ -5,9 +5,9 @@
 use bytes::Bytes;
 use havengrade_core::{
     config::Endpoint,
-    decision::Route,
+    endpoint_selection::{self, EndpointStates as _},
     ids::EndpointId,
-    selection::{self, EndpointStates as _},
+    routing::Route,
 };
 use http_body_util::Full;
 use hyper::{
@@ -104,7 +104,7 @@
     if !tried.is_empty() {
         sleep(SAME_TRY_PAUSE).await;
     }
-    let wants_rest = job.cx.shared.endpoints.state(&home.id).rest_left(job.now()).is_some();
+    let wants_rest = job.cx.shared.endpoints.state(&home.id).backoff_left(job.now()).is_some();
     (!wants_rest).then_some(home)
 }
 
@@ -113,7 +113,7 @@
     let keyed = job.keyed.as_ref().filter(|_| !job.is_repeatable())?;
     let Route::Service { service } = &job.decision.route else { return None };
     let catalog = job.cx.shared.catalog.load();
-    selection::home(&catalog, catalog.services(service), &keyed.key.key).cloned()
+    endpoint_selection::endpoint_for_key(&catalog, catalog.services(service), &keyed.key.key).cloned()
 }
 
 async fn send(job: &Job, endpoint: &Endpoint, content_type: &str, path: &str) -> Result<Answer, HttpError> {
--- a/havengrade_router/src/traffic/problem.rs
+++ b/havengrade_router/src/traffic/problem.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use havengrade_core::{admission::Limit, decision::Refusal};
+use havengrade_core::{admission::AccountLimit, routing::Refusal};
 use http_body_util::Full;
 use hyper::{
     Response, StatusCode,
@@ -113,11 +113,15 @@
     }
 }
 
-impl From<(Limit, Duration)> for Problem {
-    fn from((limit, after): (Limit, Duration)) -> Self {
+impl From<(AccountLimit, Duration)> for Problem {
+    fn from((limit, after): (AccountLimit, Duration)) -> Self {
         let detail = match limit {
-            Limit::Concurrency => "the client account has as many requests in progress as it may; come back later",
-            Limit::Rate => "the client account has started as many requests as it may in a second; come back later",
+            AccountLimit::Concurrency => {
+                "the client account has as many requests in progress as it may; come back later"
+            },
+            AccountLimit::Rate => {
+                "the client account has started as many requests as it may in a second; come back later"
+            },
         };
         Self::not_run(StatusCode::TOO_MANY_REQUESTS, "account_limit", detail).retry_after(after)
     }
--- a/havengrade_router/src/traffic/refuse.rs
+++ b/havengrade_router/src/traffic/refuse.rs
@@ -1,7 +1,7 @@
 //! Refusals: "not run" is said only where it is certain.
 
 use havengrade_core::{
-    claim::{KeyState, Outcome, Verdict},
+    claim::{ApplyResult, KeyState, Outcome},
     ids::RequestId,
     ledger::LedgerRecord,
 };
@@ -30,8 +30,8 @@
         request_id: request_id.to_owned(),
     };
     match ledger::submit(cx, record).await {
-        Submitted::Logged(Verdict::Effective) => End::Failed(problem),
-        Submitted::Logged(Verdict::Claimed { request_id, .. }) => {
+        Submitted::Logged(ApplyResult::Applied) => End::Failed(problem),
+        Submitted::Logged(ApplyResult::AlreadyClaimed { request_id, .. }) => {
             let state = ledger::key(cx, keyed.key.clone()).await;
             state.and_then(|state| known(&state, keyed)).unwrap_or(End::PendingElsewhere(request_id))
         },
@@ -89,14 +89,14 @@
 }
 
 /// The end that a claim without effect stands for.
-pub(crate) async fn unclaimed(cx: &Context, keyed: &Keyed, verdict: Verdict) -> End {
+pub(crate) async fn unclaimed(cx: &Context, keyed: &Keyed, verdict: ApplyResult) -> End {
     match verdict {
-        Verdict::Voided { up_to } => voided(up_to),
-        Verdict::OtherBody => End::Failed(other_body()),
-        Verdict::Claimed { request_id, .. } => {
+        ApplyResult::AlreadyVoided { up_to } => voided(up_to),
+        ApplyResult::BodyMismatch => End::Failed(other_body()),
+        ApplyResult::AlreadyClaimed { request_id, .. } => {
             let state = ledger::key(cx, keyed.key.clone()).await;
             state.and_then(|state| known(&state, keyed)).unwrap_or(End::PendingElsewhere(request_id))
         },
-        Verdict::Effective | Verdict::Unfounded => End::Failed(lost_answer()),
+        ApplyResult::Applied | ApplyResult::NotApplicable => End::Failed(lost_answer()),
     }
 }
--- a/havengrade_router/src/traffic/request.rs
+++ b/havengrade_router/src/traffic/request.rs
@@ -11,13 +11,13 @@
 use bytes::Bytes;
 use havengrade_core::{
     billing::Bill,
-    claim::{Claim, ClaimKey, body_digest},
+    claim::{Claim, ClaimKey, encode_body_digest},
     config::Endpoint,
-    cost::Usage,
-    decision::{Decision, endpoint, rest_left},
+    cost::TokenUsage,
+    endpoint_selection::SelectionContext,
     ids::{Attempt, EndpointId, Micros, VersionId},
+    routing::{RoutingDecision, backoff_left, choose_endpoint},
     secret::{Digest, digest},
-    selection::Wanted,
 };
 
 use crate::{kernel::Context, traffic::table::RequestEntry};
@@ -46,7 +46,7 @@
 /// What a request costs so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Spent {
-    pub(crate) usage: Usage,
+    pub(crate) usage: TokenUsage,
     pub(crate) cost: Micros,
 }
 
@@ -54,7 +54,7 @@
 pub(crate) struct Job {
     pub(crate) cx: Context,
     pub(crate) entry: Arc<RequestEntry>,
-    pub(crate) decision: Decision,
+    pub(crate) decision: RoutingDecision,
     pub(crate) keyed: Option<Keyed>,
     pub(crate) body: Bytes,
     pub(crate) arrived: SystemTime,
@@ -98,15 +98,15 @@
         let shared = &self.cx.shared;
         let catalog = shared.catalog.load();
         let failure_domain = &shared.settings.vm.failure_domain;
-        let wanted = Wanted { failure_domain, tried, now: self.now() };
+        let wanted = SelectionContext { failure_domain, tried, now: self.now() };
         let mut rng = shared.rng();
-        endpoint(&catalog, &self.decision.route, version, &shared.endpoints, wanted, &mut *rng).cloned()
+        choose_endpoint(&catalog, &self.decision.route, version, &shared.endpoints, wanted, &mut *rng).cloned()
     }
 
     /// Time until the first of the endpoints for the next try no longer wants rest; none where one of them wants none.
     pub(crate) fn rest_left(&self, version: Option<&VersionId>) -> Option<Duration> {
         let shared = &self.cx.shared;
-        rest_left(&shared.catalog.load(), &self.decision.route, version, &shared.endpoints, self.now())
+        backoff_left(&shared.catalog.load(), &self.decision.route, version, &shared.endpoints, self.now())
     }
 
     /// Whether the configuration may still be relied on, looked at again right before something is sent.
@@ -135,7 +135,7 @@
             holder: self.cx.shared.incarnation,
             request_id: self.entry.id.clone(),
             class: self.decision.class.id.clone(),
-            body_sha256: body_digest(&keyed.body),
+            body_sha256: encode_body_digest(&keyed.body),
             endpoint: endpoint.to_owned(),
             at: self.now(),
         }
--- a/havengrade_router/src/traffic/routes.rs
+++ b/havengrade_router/src/traffic/routes.rs
@@ -9,9 +9,9 @@
 use havengrade_core::{
     claim::{KeyState, Outcome},
     config::Account,
-    decision::{Decision, RequestMeta, authenticate, decide},
+    endpoint_selection,
     ids::{RequestId, VmId},
-    selection,
+    routing::{RequestMeta, RoutingDecision, authenticate, decide_route},
 };
 use havengrade_rpc::peers::{PeerAsk, PeerReply, PeerRequest};
 use http_body_util::{BodyExt as _, LengthLimitError, Limited};
@@ -110,7 +110,7 @@
     RequestMeta {
         class: arrival.caller.class.clone(),
         session_token: arrival.caller.session.clone().filter(|token| !token.is_empty()),
-        subject: arrival.id.clone(),
+        bucketing_id: arrival.id.clone(),
         has_key: arrival.caller.key.is_some(),
         ..RequestMeta::default()
     }
@@ -196,7 +196,7 @@
 fn can_ask_again(cx: &Context, meta: &RequestMeta, state: &KeyState) -> bool {
     let catalog = cx.shared.catalog.load();
     let candidates = meta.service.as_ref().map_or(&[][..], |service| catalog.services(service));
-    let recognises = selection::home(&catalog, candidates, "").is_some();
+    let recognises = endpoint_selection::endpoint_for_key(&catalog, candidates, "").is_some();
     recognises && state.outcome == Some(Outcome::MayHaveRun)
 }
 
@@ -210,14 +210,19 @@
     Some(Keyed::new(&arrival.account.id, &key, arrival.caller.attempt, &arrival.body))
 }
 
-fn check(cx: &Context, arrival: &Arrival, meta: &RequestMeta, entry: &Arc<RequestEntry>) -> Result<Decision, Problem> {
+fn check(
+    cx: &Context,
+    arrival: &Arrival,
+    meta: &RequestMeta,
+    entry: &Arc<RequestEntry>,
+) -> Result<RoutingDecision, Problem> {
     let shared = &cx.shared;
     let now = shared.clock.now();
     if let Some(closed) = shared.closed(now) {
         return Err(Problem::from(closed));
     }
     let (catalog, evidence) = (shared.catalog.load(), shared.evidence.load());
-    let decision = decide(&catalog, &arrival.account, meta, &evidence, &mut *shared.rng(), now)
+    let decision = decide_route(&catalog, &arrival.account, meta, &evidence, &mut *shared.rng(), now)
         .map_err(|refusal| Problem::from(&refusal))?;
     shared.admission().admit(&arrival.account, shared.sharers(), now)?;
     if shared.requests.insert(entry.clone(), shared.settings.limits.max_requests) {
