--- a/havengrade_core/benches/decisions.rs
+++ b/havengrade_core/benches/decisions.rs
@@ -5,7 +5,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use havengrade_core::{
-    config::{Base, Catalog, ChangeFile, ChangeRecord, Config, ConfigRecord},
+    config::{BaseRevision, Catalog, ChangeFile, ChangeRecord, Config, ConfigRecord},
     endpoint_selection::{EndpointState, EndpointStates, SelectionContext},
     evidence::EvidenceTotals,
     routing::{RequestMeta, choose_endpoint, decide_route},
@@ -54,8 +54,8 @@
         )
     };
     let text: String = std::iter::once(ITEMS.to_owned()).chain((0..endpoints).map(endpoint)).collect();
-    let mut changes = ChangeFile::parse(&text).unwrap().against(&Config::default());
-    changes.iter_mut().for_each(|change| change.base = Base::Absent);
+    let mut changes = ChangeFile::parse(&text).unwrap().changes_against(&Config::default());
+    changes.iter_mut().for_each(|change| change.base = BaseRevision::Absent);
     let (change_id, author, reason) = (String::new(), String::new(), String::new());
     let record = ChangeRecord { change_id, author, reason, at: SystemTime::UNIX_EPOCH, changes };
     let mut config = Config::default();
--- a/havengrade_core/src/config/change.rs
+++ b/havengrade_core/src/config/change.rs
@@ -69,7 +69,7 @@
 /// The revision of its scope that a change was made against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Base {
+pub enum BaseRevision {
     /// Whatever is there; only for changes that can't conflict, such as a withdrawal.
     Any,
     /// The scope had never been filled.
@@ -114,7 +114,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScopedChange {
     /// Revision of the scope that the operator saw.
-    pub base: Base,
+    pub base: BaseRevision,
     /// The change.
     pub change: Change,
 }
--- a/havengrade_core/src/config/file.rs
+++ b/havengrade_core/src/config/change_file.rs
@@ -4,13 +4,13 @@
 use snafu::{ResultExt, Snafu, ensure};
 
 use crate::config::{
-    Account, Cascade, Change, Config, Endpoint, Invalid, Item, MigrationRule, ModelVersion, RequestClass, Rollout,
+    Account, Cascade, Change, Config, ConfigFault, Endpoint, Item, MigrationRule, ModelVersion, RequestClass, Rollout,
     Route, Scope, ScopedChange, SessionKey, validate,
 };
 
 /// Why a change file can't be used.
 #[derive(Debug, Snafu)]
-pub enum FileError {
+pub enum ChangeFileError {
     /// The file is not TOML, or a key in it is unknown or of the wrong type.
     #[snafu(display("change file: {source}"))]
     Malformed {
@@ -22,9 +22,9 @@
     Empty,
     /// A scope stands in the file twice.
     #[snafu(display("change file: {}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")))]
-    Twice {
+    DuplicateScopes {
         /// One fault a scope.
-        faults: Vec<Invalid>,
+        faults: Vec<ConfigFault>,
     },
 }
 
@@ -56,7 +56,7 @@
 
 /// How one scope differs between the configuration in force and a change file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Difference {
+pub struct ItemDiff {
     /// The scope.
     pub scope: Scope,
     /// The item in force, if there is one.
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// [`FileError`] names the key at fault and what to do about it.
+    /// [`ChangeFileError`] names the key at fault and what to do about it.
     ///
     /// ```
     /// use havengrade_core::config::ChangeFile;
@@ -79,17 +79,17 @@
     /// assert_eq!(ChangeFile::parse(text).unwrap().remove.len(), 1);
     /// assert!(ChangeFile::parse("[[acount]]\n").unwrap_err().to_string().contains("acount"));
     /// ```
-    pub fn parse(text: &str) -> Result<Self, FileError> {
+    pub fn parse(text: &str) -> Result<Self, ChangeFileError> {
         let file: Self = toml::from_str(text).context(MalformedSnafu)?;
         let scopes: Vec<Scope> = file.changes().iter().map(Change::scope).collect();
         ensure!(!scopes.is_empty(), EmptySnafu);
-        let faults = validate::scopes_once(&scopes);
-        ensure!(faults.is_empty(), TwiceSnafu { faults });
+        let faults = validate::duplicate_scopes(&scopes);
+        ensure!(faults.is_empty(), DuplicateScopesSnafu { faults });
         Ok(file)
     }
 
     /// The changes that lead from the configuration to the file, each with its base.
-    pub fn against(&self, cfg: &Config) -> Vec<ScopedChange> {
+    pub fn changes_against(&self, cfg: &Config) -> Vec<ScopedChange> {
         let differs = |change: &Change| match change {
             Change::Put { item } => cfg.item(&item.scope()).as_ref() != Some(item),
             Change::Remove { .. } | Change::Withdraw { .. } => true,
@@ -97,7 +97,7 @@
         self.changes()
             .into_iter()
             .filter(differs)
-            .map(|change| ScopedChange { base: cfg.base_of(&change.scope()), change })
+            .map(|change| ScopedChange { base: cfg.base_revision(&change.scope()), change })
             .collect()
     }
 
@@ -117,9 +117,9 @@
     }
 }
 
-impl Difference {
+impl ItemDiff {
     /// How the changes would alter the configuration, a scope each.
-    pub fn list(cfg: &Config, changes: &[ScopedChange]) -> Vec<Self> {
+    pub fn for_changes(cfg: &Config, changes: &[ScopedChange]) -> Vec<Self> {
         let after = |change: &Change| match change {
             Change::Put { item } => Some(item.clone()),
             Change::Remove { .. } | Change::Withdraw { .. } => None,
--- a/havengrade_core/src/config/items.rs
+++ b/havengrade_core/src/config/items.rs
@@ -349,11 +349,11 @@
     /// The item as it may be shown: without the secret of a session key.
     pub fn without_secrets(self) -> Self {
         match self {
-            Self::SessionKey(key) => Self::SessionKey(SessionKey { secret_hex: HIDDEN.into(), ..key }),
+            Self::SessionKey(key) => Self::SessionKey(SessionKey { secret_hex: REDACTED.into(), ..key }),
             shown => shown,
         }
     }
 }
 
 /// What is shown in the place of a secret.
-const HIDDEN: &str = "(hidden)";
+const REDACTED: &str = "(hidden)";
--- a/havengrade_core/src/config/replay.rs
+++ b/havengrade_core/src/config/replay.rs
@@ -6,8 +6,8 @@
 
 use crate::{
     config::{
-        Base, Change, ChangeOutcome, ChangeRecord, Config, ConfigRecord, Invalid, Item, Scope, ScopeKind, VersionState,
-        state::REMEMBERED_CHANGES, validate,
+        BaseRevision, Change, ChangeOutcome, ChangeRecord, Config, ConfigFault, ConfigRecord, Item, Scope, ScopeKind,
+        VersionState, state::MAX_REMEMBERED_CHANGES, validate,
     },
     ids::{ChangeId, Offset},
 };
@@ -24,7 +24,7 @@
         changed_at: Option<Offset>,
     },
     /// The configuration would not have been valid.
-    Invalid(Vec<Invalid>),
+    Invalid(Vec<ConfigFault>),
 }
 
 impl fmt::Display for VoidReason {
@@ -44,17 +44,17 @@
 
 /// What a record did.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum ReplayOutcome {
     /// The change took effect.
     Effective,
     /// The change had no effect.
     Void(VoidReason),
     /// A change with this id had been seen before.
-    Repeated(ChangeId),
+    Duplicate(ChangeId),
     /// The snapshot was taken over.
     Restored,
     /// The record stands before what is known already, or is a snapshot that is not needed.
-    Passed,
+    Skipped,
 }
 
 impl Config {
@@ -62,10 +62,10 @@
     ///
     /// The result depends only on the records and their order. A record that is older than what has
     /// been replayed is passed over, so the configuration only moves forward.
-    pub fn replay(&mut self, offset: Offset, record: &ConfigRecord) -> Effect {
+    pub fn replay(&mut self, offset: Offset, record: &ConfigRecord) -> ReplayOutcome {
         match record {
             ConfigRecord::Snapshot(snapshot) => self.restore(offset, snapshot),
-            ConfigRecord::Change(_) if offset < self.next_offset => Effect::Passed,
+            ConfigRecord::Change(_) if offset < self.next_offset => ReplayOutcome::Skipped,
             ConfigRecord::Change(change) => {
                 self.next_offset = offset + 1;
                 self.replay_change(offset, change)
@@ -73,31 +73,31 @@
         }
     }
 
-    fn restore(&mut self, offset: Offset, snapshot: &Config) -> Effect {
+    fn restore(&mut self, offset: Offset, snapshot: &Config) -> ReplayOutcome {
         if snapshot.next_offset > self.next_offset {
             *self = snapshot.clone();
-            return Effect::Restored;
+            return ReplayOutcome::Restored;
         }
         // A node that is past the snapshot has replayed all that it holds.
         if offset == self.next_offset {
             self.next_offset = offset + 1;
         }
-        Effect::Passed
+        ReplayOutcome::Skipped
     }
 
-    fn replay_change(&mut self, offset: Offset, record: &ChangeRecord) -> Effect {
+    fn replay_change(&mut self, offset: Offset, record: &ChangeRecord) -> ReplayOutcome {
         if self.outcomes.contains_key(&record.change_id) {
-            return Effect::Repeated(record.change_id.clone());
+            return ReplayOutcome::Duplicate(record.change_id.clone());
         }
-        let (outcome, effect) = match self.attempt(offset, record) {
+        let (outcome, effect) = match self.try_apply(offset, record) {
             Ok(next) => {
                 *self = next;
                 self.revision = Some(offset);
-                (ChangeOutcome::Effective(offset), Effect::Effective)
+                (ChangeOutcome::Effective(offset), ReplayOutcome::Effective)
             },
-            Err(reason) => (ChangeOutcome::Void(reason.clone()), Effect::Void(reason)),
+            Err(reason) => (ChangeOutcome::Void(reason.clone()), ReplayOutcome::Void(reason)),
         };
-        self.remember(record.change_id.clone(), outcome);
+        self.record_outcome(record.change_id.clone(), outcome);
         effect
     }
 
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// A conflict where a scope's base is not its present revision, else the faults of the result.
-    pub fn attempt(&self, offset: Offset, record: &ChangeRecord) -> Result<Config, VoidReason> {
+    pub fn try_apply(&self, offset: Offset, record: &ChangeRecord) -> Result<Config, VoidReason> {
         for scoped in &record.changes {
             self.check_base(&scoped.change, scoped.base)?;
         }
@@ -115,7 +115,7 @@
         for scoped in &record.changes {
             faults.extend(validate::transition(self, &scoped.change));
             next.revisions.insert(scoped.change.scope(), offset);
-            next.perform(&scoped.change);
+            next.apply(&scoped.change);
         }
         for scoped in &record.changes {
             faults.extend(validate::change(&next, &scoped.change));
@@ -125,25 +125,25 @@
     }
 
     /// All faults of the configuration; a configuration that was replayed has none.
-    pub fn faults(&self) -> Vec<Invalid> {
+    pub fn faults(&self) -> Vec<ConfigFault> {
         validate::all(self)
     }
 
-    fn check_base(&self, change: &Change, base: Base) -> Result<(), VoidReason> {
+    fn check_base(&self, change: &Change, base: BaseRevision) -> Result<(), VoidReason> {
         let scope = change.scope();
-        let present = self.base_of(&scope);
+        let present = self.base_revision(&scope);
         let withdraws = matches!(change, Change::Withdraw { .. });
-        if base == present || (base == Base::Any && withdraws) {
+        if base == present || (base == BaseRevision::Any && withdraws) {
             return Ok(());
         }
         let changed_at = match present {
-            Base::At(offset) => Some(offset),
-            Base::Any | Base::Absent => None,
+            BaseRevision::At(offset) => Some(offset),
+            BaseRevision::Any | BaseRevision::Absent => None,
         };
         Err(VoidReason::Conflict { scope, changed_at })
     }
 
-    fn perform(&mut self, change: &Change) {
+    fn apply(&mut self, change: &Change) {
         match change {
             Change::Put { item } => self.put(item.clone()),
             Change::Remove { scope } => self.remove(scope),
@@ -201,10 +201,10 @@
         }
     }
 
-    fn remember(&mut self, change_id: ChangeId, outcome: ChangeOutcome) {
+    fn record_outcome(&mut self, change_id: ChangeId, outcome: ChangeOutcome) {
         self.outcomes.insert(change_id.clone(), outcome);
         self.remembered.push_back(change_id);
-        if self.remembered.len() > REMEMBERED_CHANGES
+        if self.remembered.len() > MAX_REMEMBERED_CHANGES
             && let Some(oldest) = self.remembered.pop_front()
         {
             self.outcomes.remove(&oldest);
--- a/havengrade_core/src/config/state.rs
+++ b/havengrade_core/src/config/state.rs
@@ -7,14 +7,14 @@
 
 use crate::{
     config::{
-        Account, Base, Cascade, Endpoint, EndpointKind, MigrationRule, ModelVersion, RequestClass, Rollout, Route,
-        Scope, SessionKey, VersionState, VoidReason,
+        Account, BaseRevision, Cascade, Endpoint, EndpointKind, MigrationRule, ModelVersion, RequestClass, Rollout,
+        Route, Scope, SessionKey, VersionState, VoidReason,
     },
     ids::{AccountId, CascadeId, ChangeId, ClassId, EndpointId, Offset, RolloutId, ServiceId, VersionId},
 };
 
 /// Change ids that are remembered, so that a late retry is recognised.
-pub(crate) const REMEMBERED_CHANGES: usize = 65_536;
+pub(crate) const MAX_REMEMBERED_CHANGES: usize = 65_536;
 
 /// What became of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -68,15 +68,15 @@
     /// The base that a change to the scope must name now.
     ///
     /// ```
-    /// use havengrade_core::config::{Base, Config, Scope, ScopeKind};
+    /// use havengrade_core::config::{BaseRevision, Config, Scope, ScopeKind};
     ///
     /// let scope = Scope { kind: ScopeKind::Class, name: "check-in".into() };
-    /// assert_eq!(Config::default().base_of(&scope), Base::Absent);
+    /// assert_eq!(Config::default().base_revision(&scope), BaseRevision::Absent);
     /// ```
-    pub fn base_of(&self, scope: &Scope) -> Base {
+    pub fn base_revision(&self, scope: &Scope) -> BaseRevision {
         match self.revisions.get(scope) {
-            Some(offset) => Base::At(*offset),
-            None => Base::Absent,
+            Some(offset) => BaseRevision::At(*offset),
+            None => BaseRevision::Absent,
         }
     }
 
@@ -86,12 +86,12 @@
     }
 
     /// What became of a change, if it is remembered.
-    pub fn outcome(&self, change_id: &str) -> Option<&ChangeOutcome> {
+    pub fn change_outcome(&self, change_id: &str) -> Option<&ChangeOutcome> {
         self.outcomes.get(change_id)
     }
 
     /// The migration rule for a client account's requests of a class.
-    pub fn migration(&self, class: &str, account: &str) -> Option<&MigrationRule> {
+    pub fn migration_rule(&self, class: &str, account: &str) -> Option<&MigrationRule> {
         self.migrations.get(&format!("{class}/{account}")).or_else(|| self.migrations.get(class))
     }
 
@@ -174,25 +174,25 @@
 
     /// The catalog of a later configuration; the indexes stay where the endpoints are the same.
     #[must_use]
-    pub fn next(&self, config: Config) -> Self {
-        if self.has_endpoints_of(&config) {
+    pub fn with_config(&self, config: Config) -> Self {
+        if self.shares_endpoints_with(&config) {
             return Self { config, index: self.index.clone() };
         }
         Self::new(config)
     }
 
     /// Whether a configuration shares this one's endpoints.
-    pub fn has_endpoints_of(&self, config: &Config) -> bool {
+    pub fn shares_endpoints_with(&self, config: &Config) -> bool {
         self.config.endpoints.ptr_eq(&config.endpoints)
     }
 
     /// Endpoints that have the version loaded.
-    pub fn engines(&self, version: &str) -> &[EndpointId] {
+    pub fn engines_for(&self, version: &str) -> &[EndpointId] {
         self.index.by_version.get(version).map_or(&[], Vec::as_slice)
     }
 
     /// Endpoints of the plain service.
-    pub fn services(&self, service: &str) -> &[EndpointId] {
+    pub fn endpoints_of(&self, service: &str) -> &[EndpointId] {
         self.index.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 }
--- a/havengrade_core/src/config/validate.rs
+++ b/havengrade_core/src/config/validate.rs
@@ -14,28 +14,28 @@
 
 /// A fault of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Invalid {
+pub struct ConfigFault {
     /// Field that is at fault, from its scope down.
     pub field: String,
     /// What is wrong and what to do about it.
     pub remedy: String,
 }
 
-impl fmt::Display for Invalid {
+impl fmt::Display for ConfigFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.field, self.remedy)
     }
 }
 
 /// Largest share or score, in thousandths.
-const WHOLE: u32 = 1000;
+const MAX_PERMILLE: u32 = 1000;
 
-fn fault(field: String, remedy: impl Into<String>) -> Invalid {
-    Invalid { field, remedy: remedy.into() }
+fn fault(field: String, remedy: impl Into<String>) -> ConfigFault {
+    ConfigFault { field, remedy: remedy.into() }
 }
 
 /// Faults that lie in the step from one configuration to the next.
-pub(crate) fn transition(before: &Config, change: &Change) -> Vec<Invalid> {
+pub(crate) fn transition(before: &Config, change: &Change) -> Vec<ConfigFault> {
     let scope = change.scope();
     match change {
         Change::Put { item: Item::Version(item) } => {
@@ -63,7 +63,7 @@
 ///
 /// A new or replaced item is looked at by itself, with what it names. What names it is looked at only
 /// where a change can take something away from it.
-pub(crate) fn change(cfg: &Config, change: &Change) -> Vec<Invalid> {
+pub(crate) fn change(cfg: &Config, change: &Change) -> Vec<ConfigFault> {
     let mut faults = Vec::new();
     match change {
         Change::Put { item } => {
@@ -76,7 +76,7 @@
     faults
 }
 
-fn check_item(cfg: &Config, item: &Item, faults: &mut Vec<Invalid>) {
+fn check_item(cfg: &Config, item: &Item, faults: &mut Vec<ConfigFault>) {
     match item {
         Item::Account(item) => check_account(cfg, item, faults),
         Item::Version(item) => check_version(item, faults),
@@ -91,7 +91,7 @@
 }
 
 /// Checks what a replaced item may have taken something away from.
-fn check_dependents(cfg: &Config, item: &Item, faults: &mut Vec<Invalid>) {
+fn check_dependents(cfg: &Config, item: &Item, faults: &mut Vec<ConfigFault>) {
     match item {
         Item::Endpoint(_) => {
             cfg.migrations.values().for_each(|item| check_migration(cfg, item, faults));
@@ -103,13 +103,13 @@
 }
 
 /// All faults of a configuration.
-pub(crate) fn all(cfg: &Config) -> Vec<Invalid> {
+pub(crate) fn all(cfg: &Config) -> Vec<ConfigFault> {
     let mut faults = Vec::new();
     check_all(cfg, &mut faults);
     faults
 }
 
-fn check_all(cfg: &Config, faults: &mut Vec<Invalid>) {
+fn check_all(cfg: &Config, faults: &mut Vec<ConfigFault>) {
     cfg.accounts.values().for_each(|item| check_account(cfg, item, faults));
     cfg.cascades.values().for_each(|item| check_cascade(cfg, item, faults));
     cfg.migrations.values().for_each(|item| check_migration(cfg, item, faults));
@@ -121,7 +121,7 @@
     cfg.endpoints.values().for_each(|item| check_endpoint(cfg, item, faults));
 }
 
-fn check_account(cfg: &Config, item: &Account, faults: &mut Vec<Invalid>) {
+fn check_account(cfg: &Config, item: &Account, faults: &mut Vec<ConfigFault>) {
     let field = |name: &str| format!("account {}.{name}", item.id);
     if item.id.is_empty() || item.id.contains('.') {
         faults.push(fault(field("id"), "must be a name without a dot, since the dot ends it in a key"));
@@ -154,17 +154,17 @@
     }
 }
 
-fn check_version(item: &ModelVersion, faults: &mut Vec<Invalid>) {
+fn check_version(item: &ModelVersion, faults: &mut Vec<ConfigFault>) {
     if item.id.split_once('@').is_none_or(|(model, version)| model != item.model || version.is_empty()) {
         let remedy = format!("must be its model and a version, as in {}@1", item.model);
         faults.push(fault(format!("version {}.id", item.id), remedy));
     }
-    if item.prior_quality > WHOLE {
+    if item.prior_quality > MAX_PERMILLE {
         faults.push(fault(format!("version {}.prior_quality", item.id), "must be 0 to 1000 thousandths"));
     }
 }
 
-fn check_class(cfg: &Config, item: &RequestClass, faults: &mut Vec<Invalid>) {
+fn check_class(cfg: &Config, item: &RequestClass, faults: &mut Vec<ConfigFault>) {
     let field = |name: &str| format!("class {}.{name}", item.id);
     if item.deadline_ms == 0 {
         faults.push(fault(field("deadline_ms"), "must be 1 or more"));
@@ -180,7 +180,7 @@
     }
 }
 
-fn check_endpoint(cfg: &Config, item: &Endpoint, faults: &mut Vec<Invalid>) {
+fn check_endpoint(cfg: &Config, item: &Endpoint, faults: &mut Vec<ConfigFault>) {
     if item.capacity == 0 {
         faults.push(fault(format!("endpoint {}.capacity", item.id), "must be 1 or more"));
     }
@@ -191,7 +191,7 @@
     }
 }
 
-fn check_cascade(cfg: &Config, item: &Cascade, faults: &mut Vec<Invalid>) {
+fn check_cascade(cfg: &Config, item: &Cascade, faults: &mut Vec<ConfigFault>) {
     let field = |name: &str| format!("cascade {}.{name}", item.id);
     if item.steps.is_empty() {
         faults.push(fault(field("steps"), "must name one version or more, from cheap to strong"));
@@ -199,15 +199,15 @@
     for version in item.steps.iter().filter(|version| !cfg.versions.contains_key(*version)) {
         faults.push(fault(field("steps"), format!("names {version}, which does not exist; add it first")));
     }
-    if item.quality_target > WHOLE {
+    if item.quality_target > MAX_PERMILLE {
         faults.push(fault(field("quality_target"), "must be 0 to 1000 thousandths"));
     }
-    if item.explore > WHOLE {
+    if item.explore > MAX_PERMILLE {
         faults.push(fault(field("explore"), "must be 0 to 1000 thousandths"));
     }
 }
 
-fn check_migration(cfg: &Config, item: &MigrationRule, faults: &mut Vec<Invalid>) {
+fn check_migration(cfg: &Config, item: &MigrationRule, faults: &mut Vec<ConfigFault>) {
     let field = |name: &str| format!("migration {}.{name}", item.name());
     if !cfg.classes.contains_key(&item.class) {
         faults.push(fault(field("class"), format!("class {} does not exist; add it first", item.class)));
@@ -225,7 +225,7 @@
     }
 }
 
-fn check_rollout(cfg: &Config, item: &Rollout, faults: &mut Vec<Invalid>) {
+fn check_rollout(cfg: &Config, item: &Rollout, faults: &mut Vec<ConfigFault>) {
     let field = |name: &str| format!("rollout {}.{name}", item.id);
     for (name, version) in [("from", &item.from), ("to", &item.to)] {
         if !cfg.versions.contains_key(version) {
@@ -236,7 +236,7 @@
         faults.push(fault(field("to"), "must differ from `from`"));
     }
     let rising = item.steps.windows(2).all(|pair| pair[0] < pair[1]);
-    if item.steps.is_empty() || !rising || item.steps.iter().any(|step| *step > WHOLE) {
+    if item.steps.is_empty() || !rising || item.steps.iter().any(|step| *step > MAX_PERMILLE) {
         faults.push(fault(field("steps"), "must be rising shares of up to 1000 thousandths"));
     }
     if item.step >= item.steps.len() {
@@ -248,7 +248,7 @@
     }
 }
 
-fn check_route(cfg: &Config, item: &Route, faults: &mut Vec<Invalid>) {
+fn check_route(cfg: &Config, item: &Route, faults: &mut Vec<ConfigFault>) {
     let field = |name: &str| format!("route {}.{name}", item.id);
     if item.host.is_empty() || item.host.contains([':', '/']) {
         faults.push(fault(field("host"), "must be a host name without a port"));
@@ -276,7 +276,7 @@
     }
 }
 
-fn check_session_key(item: &SessionKey, faults: &mut Vec<Invalid>) {
+fn check_session_key(item: &SessionKey, faults: &mut Vec<ConfigFault>) {
     /// Fewest bytes of a secret that signs sessions.
     const MIN_SECRET: usize = 16;
     let long_enough = hex::decode(&item.secret_hex).is_ok_and(|secret| secret.len() >= MIN_SECRET);
@@ -290,7 +290,7 @@
 }
 
 /// Faults that a change file can show before any record is written.
-pub(crate) fn scopes_once(scopes: &[Scope]) -> Vec<Invalid> {
+pub(crate) fn duplicate_scopes(scopes: &[Scope]) -> Vec<ConfigFault> {
     let mut seen = std::collections::BTreeSet::new();
     scopes
         .iter()
--- a/havengrade_core/src/routing.rs
+++ b/havengrade_core/src/routing.rs
@@ -190,13 +190,13 @@
     rng: &mut dyn Rng,
     now: SystemTime,
 ) -> Result<(Route, bool), Refusal> {
-    let rule = catalog.config.migration(&class.id, &account.id);
+    let rule = catalog.config.migration_rule(&class.id, &account.id);
     if let Some(MigrationState::Scripts { endpoint }) = rule.map(|rule| &rule.state) {
         return Ok((Route::Scripts { endpoint: endpoint.clone() }, false));
     }
     if let Some(service) = &meta.service {
         ensure!(class.cascade.is_none(), WrongPathSnafu { class: &class.id });
-        ensure!(!catalog.services(service).is_empty(), UnknownServiceSnafu { service });
+        ensure!(!catalog.endpoints_of(service).is_empty(), UnknownServiceSnafu { service });
         return Ok((Route::Service { service: service.clone() }, false));
     }
     if let Some(token) = &meta.session_token {
@@ -255,11 +255,11 @@
 ) -> Option<&'a Endpoint> {
     match (route, version) {
         (Route::Engines { .. }, Some(version)) if catalog.config.is_active(version) => {
-            endpoint_selection::choose(catalog, catalog.engines(version), states, context, rng)
+            endpoint_selection::choose(catalog, catalog.engines_for(version), states, context, rng)
         },
         (Route::Engines { .. }, _) => None,
         (Route::Service { service }, _) => {
-            endpoint_selection::choose(catalog, catalog.services(service), states, context, rng)
+            endpoint_selection::choose(catalog, catalog.endpoints_of(service), states, context, rng)
         },
         (Route::Scripts { endpoint }, _) => catalog
             .config
@@ -279,10 +279,10 @@
 ) -> Option<Duration> {
     match (route, version) {
         (Route::Engines { .. }, Some(version)) => {
-            endpoint_selection::backoff_left(catalog.engines(version), states, now)
+            endpoint_selection::backoff_left(catalog.engines_for(version), states, now)
         },
         (Route::Engines { .. }, None) => None,
-        (Route::Service { service }, _) => endpoint_selection::backoff_left(catalog.services(service), states, now),
+        (Route::Service { service }, _) => endpoint_selection::backoff_left(catalog.endpoints_of(service), states, now),
         (Route::Scripts { endpoint }, _) => states.state(endpoint).backoff_left(now),
     }
 }
--- a/havengrade_core/tests/config_replay.rs
+++ b/havengrade_core/tests/config_replay.rs
@@ -4,8 +4,9 @@
 use std::time::SystemTime;
 
 use havengrade_core::config::{
-    Base, Cascade, Change, ChangeRecord, Config, ConfigRecord, Effect, Endpoint, EndpointKind, Item, MigrationRule,
-    MigrationState, ModelVersion, RequestClass, Scope, ScopeKind, ScopedChange, SessionKey, VersionState,
+    BaseRevision, Cascade, Change, ChangeRecord, Config, ConfigRecord, Endpoint, EndpointKind, Item, MigrationRule,
+    MigrationState, ModelVersion, ReplayOutcome, RequestClass, Scope, ScopeKind, ScopedChange, SessionKey,
+    VersionState,
 };
 use proptest::prelude::*;
 
@@ -104,7 +105,7 @@
 
 fn record(step: &Step, config: &Config) -> ConfigRecord {
     let scope = step.change.scope();
-    let base = if step.is_late { Base::Absent } else { config.base_of(&scope) };
+    let base = if step.is_late { BaseRevision::Absent } else { config.base_revision(&scope) };
     ConfigRecord::Change(ChangeRecord {
         change_id: step.change_id.to_string(),
         author: "a".into(),
@@ -154,10 +155,10 @@
         for (offset, step) in (0..).zip(&steps) {
             let record = record(step, &config);
             let effect = config.replay(offset, &record);
-            if let (Effect::Effective, Change::Withdraw { version }) = (&effect, &step.change) {
+            if let (ReplayOutcome::Effective, Change::Withdraw { version }) = (&effect, &step.change) {
                 withdrawn.push(version.clone());
             }
-            if let (Effect::Effective, Change::Remove { scope }) = (&effect, &step.change) {
+            if let (ReplayOutcome::Effective, Change::Remove { scope }) = (&effect, &step.change) {
                 withdrawn.retain(|version| *version != scope.name);
             }
             for version in &withdrawn {
@@ -201,8 +202,8 @@
     let put = Step { change: Change::Put { item: version(1) }, is_late: true, change_id: 1 };
     let remove = Step { change: Change::Remove { scope: scope.clone() }, is_late: false, change_id: 2 };
     let late = Step { change_id: 3, ..put.clone() };
-    assert_eq!(config.replay(0, &record(&put, &config.clone())), Effect::Effective);
-    assert_eq!(config.replay(1, &record(&remove, &config.clone())), Effect::Effective);
-    assert_eq!(config.base_of(&scope), Base::At(1));
-    assert!(matches!(config.replay(2, &record(&late, &config.clone())), Effect::Void(_)));
+    assert_eq!(config.replay(0, &record(&put, &config.clone())), ReplayOutcome::Effective);
+    assert_eq!(config.replay(1, &record(&remove, &config.clone())), ReplayOutcome::Effective);
+    assert_eq!(config.base_revision(&scope), BaseRevision::At(1));
+    assert!(matches!(config.replay(2, &record(&late, &config.clone())), ReplayOutcome::Void(_)));
 }
--- a/havengrade_ctl/src/error.rs
+++ b/havengrade_ctl/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::{io, process::ExitCode};
 
-use havengrade_core::config::FileError;
+use havengrade_core::config::ChangeFileError;
 use havengrade_rpc::{
     RpcError,
     operators::{BadRequest, Unauthenticated, Unavailable},
@@ -27,7 +27,7 @@
         /// The file.
         path: String,
         /// What is wrong with it.
-        source: FileError,
+        source: ChangeFileError,
     },
     /// No key was given.
     #[snafu(display("HAVENGRADE_KEY is not set; set it to the operator's key"))]
--- a/havengrade_dev/src/fleet.rs
+++ b/havengrade_dev/src/fleet.rs
@@ -8,7 +8,9 @@
 };
 
 use havengrade_core::{
-    config::{Base, Change, ChangeFile, ChangeRecord, Config, ConfigRecord, Endpoint, EndpointKind, ScopedChange},
+    config::{
+        BaseRevision, Change, ChangeFile, ChangeRecord, Config, ConfigRecord, Endpoint, EndpointKind, ScopedChange,
+    },
     ids::{EndpointId, VmId},
     membership::ListedVm,
     secret::digest,
@@ -239,15 +241,15 @@
 
     /// Writes a change straight into the log, without a router.
     pub fn apply_at_once(&self, change_id: &str, file: &ChangeFile) {
-        let changes = file.against(&Config::default());
-        let changes = changes.into_iter().map(|it| ScopedChange { base: Base::Absent, ..it }).collect();
+        let changes = file.changes_against(&Config::default());
+        let changes = changes.into_iter().map(|it| ScopedChange { base: BaseRevision::Absent, ..it }).collect();
         self.append_change(change_id, changes);
     }
 
     /// Withdraws a version straight in the log, without a router.
     pub fn withdraw_at_once(&self, change_id: &str, version: &str) {
         let change = Change::Withdraw { version: version.to_owned() };
-        self.append_change(change_id, vec![ScopedChange { base: Base::Any, change }]);
+        self.append_change(change_id, vec![ScopedChange { base: BaseRevision::Any, change }]);
     }
 
     fn append_change(&self, change_id: &str, changes: Vec<ScopedChange>) {
--- a/havengrade_dev/tests/rollout.rs
+++ b/havengrade_dev/tests/rollout.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use havengrade_core::config::{Base, Change, Item, Rollout, RolloutState, ScopedChange};
+use havengrade_core::config::{BaseRevision, Change, Item, Rollout, RolloutState, ScopedChange};
 use havengrade_dev::scenario::{CHEAP, CHEAP_NEXT, OPERATOR, OPERATOR_KEY};
 use havengrade_router::services::operators::answer;
 use havengrade_rpc::{OperatorCall, operators::Credentials};
@@ -23,7 +23,7 @@
         state: RolloutState::Running,
     };
     let change = Change::Put { item: Item::Rollout(rollout) };
-    let changes_json = serde_json::to_string(&[ScopedChange { base: Base::Absent, change }]).unwrap();
+    let changes_json = serde_json::to_string(&[ScopedChange { base: BaseRevision::Absent, change }]).unwrap();
     let credentials = Credentials::new(OPERATOR.to_owned(), OPERATOR_KEY.to_owned());
     let apply = OperatorCall::Apply { change_id: "begin".into(), reason: "new version".into(), changes_json };
     answer(bench.fleet.routers["vm-1"].context(), &credentials, apply).await.unwrap();
--- a/havengrade_dev/tests/routes.rs
+++ b/havengrade_dev/tests/routes.rs
@@ -135,7 +135,7 @@
     )
     .unwrap();
     let mut cfg = havengrade_core::config::Config::default();
-    let changes = file.against(&cfg);
+    let changes = file.changes_against(&cfg);
     assert!(matches!(&changes[0].change, Change::Put { item } if item.scope().kind == ScopeKind::Route));
     cfg.routes.insert("r".into(), file.route[0].clone());
     let faults: Vec<String> = cfg.faults().iter().map(ToString::to_string).collect();
--- a/havengrade_replay/src/measure/mod.rs
+++ b/havengrade_replay/src/measure/mod.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use havengrade_core::config::{Base, Change, Config, ConfigRecord, ScopedChange};
+use havengrade_core::config::{BaseRevision, Change, Config, ConfigRecord, ScopedChange};
 use serde::{Deserialize, Serialize};
 
 pub use self::fit::{Line, fit};
@@ -63,7 +63,7 @@
 
 /// A record that puts new items.
 pub(crate) fn record_of(changes: Vec<Change>) -> ConfigRecord {
-    let absent = |change| ScopedChange { base: Base::Absent, change };
+    let absent = |change| ScopedChange { base: BaseRevision::Absent, change };
     sample::change_record("first", changes.into_iter().map(absent).collect())
 }
 
--- a/havengrade_replay/src/measure/sample.rs
+++ b/havengrade_replay/src/measure/sample.rs
@@ -9,8 +9,8 @@
     billing::Bill,
     claim::{Claim, ClaimKey, Outcome},
     config::{
-        Account, Base, Cascade, Change, ChangeFile, ChangeRecord, Config, ConfigRecord, Endpoint, EndpointKind, Item,
-        ModelVersion, RequestClass, ScopedChange, VersionState,
+        Account, BaseRevision, Cascade, Change, ChangeFile, ChangeRecord, Config, ConfigRecord, Endpoint, EndpointKind,
+        Item, ModelVersion, RequestClass, ScopedChange, VersionState,
     },
     cost::TokenUsage,
     ledger::{Batch, LedgerRecord},
@@ -92,7 +92,7 @@
         ..ChangeFile::default()
     };
     let mut config = Config::default();
-    let changes = file.against(&config);
+    let changes = file.changes_against(&config);
     config.replay(0, &change_record("first", changes));
     config
 }
@@ -112,8 +112,8 @@
     let mut item = account(0);
     item.max_concurrent = 100 + u32::try_from(number % 100).unwrap_or_default();
     let item = Item::Account(item);
-    let base = config.base_of(&item.scope());
-    let base = if base == Base::Any { Base::Absent } else { base };
+    let base = config.base_revision(&item.scope());
+    let base = if base == BaseRevision::Any { BaseRevision::Absent } else { base };
     let id = format!("0f8fad5b-d9cb-469f-a165-{number:012}");
     change_record(&id, vec![ScopedChange { base, change: Change::Put { item } }])
 }
--- a/havengrade_replay/src/measure/time.rs
+++ b/havengrade_replay/src/measure/time.rs
@@ -58,7 +58,7 @@
             if let Ok(record) = serde_json::from_str::<ConfigRecord>(&json) {
                 config.replay(config.next_offset, &record);
             }
-            catalog = black_box(catalog.next(config.clone()));
+            catalog = black_box(catalog.with_config(config.clone()));
         }
     });
     total / CHANGES as f64
--- a/havengrade_replay/src/policy/policies.rs
+++ b/havengrade_replay/src/policy/policies.rs
@@ -104,7 +104,7 @@
         turn: usize,
         rng: &mut ChaCha8Rng,
     ) -> Option<EndpointId> {
-        let candidates = view.catalog.engines(version);
+        let candidates = view.catalog.engines_for(version);
         match self.engines {
             Engines::FewDrawn => {
                 let wanted = SelectionContext { failure_domain: "", tried: &[], now: SystemTime::UNIX_EPOCH };
--- a/havengrade_router/src/services/config.rs
+++ b/havengrade_router/src/services/config.rs
@@ -7,7 +7,7 @@
 };
 
 use havengrade_core::{
-    config::{ChangeOutcome, ChangeRecord, Config, ConfigRecord, Effect},
+    config::{ChangeOutcome, ChangeRecord, Config, ConfigRecord, ReplayOutcome},
     ids::{ChangeId, Offset},
 };
 use ractor::{Actor, ActorProcessingErr, ActorRef, RpcReplyPort};
@@ -197,11 +197,11 @@
     fn replay(&mut self, offset: Offset, record: &ConfigRecord) -> bool {
         let effect = self.config.replay(offset, record);
         match (&effect, record) {
-            (Effect::Effective, ConfigRecord::Change(change)) => {
+            (ReplayOutcome::Effective, ConfigRecord::Change(change)) => {
                 let (change_id, author, reason) = (&change.change_id, &change.author, &change.reason);
                 log::info!(service = NAME, offset, change_id, author, reason; "change in force");
             },
-            (Effect::Void(why), ConfigRecord::Change(change)) => {
+            (ReplayOutcome::Void(why), ConfigRecord::Change(change)) => {
                 let change_id = &change.change_id;
                 log::warn!(service = NAME, offset, change_id; "change is void: {why}");
             },
@@ -214,12 +214,12 @@
             self.since_snapshot = 0;
         }
         self.write_snapshot();
-        matches!(effect, Effect::Effective | Effect::Restored)
+        matches!(effect, ReplayOutcome::Effective | ReplayOutcome::Restored)
     }
 
     /// Tells those who wait for a change what became of it.
     fn answer(&mut self, change_id: &str) {
-        let Some(outcome) = self.config.outcome(change_id).cloned() else { return };
+        let Some(outcome) = self.config.change_outcome(change_id).cloned() else { return };
         for reply in self.waiting.remove(change_id).unwrap_or_default() {
             let _ = reply.send(outcome.clone());
         }
@@ -242,15 +242,15 @@
 
     fn publish(&self) {
         let known = self.cx.shared.catalog.load();
-        let catalog = known.next(self.config.clone());
-        if !known.has_endpoints_of(&self.config) {
+        let catalog = known.with_config(self.config.clone());
+        if !known.shares_endpoints_with(&self.config) {
             self.cx.shared.endpoints.configure(catalog.config.endpoints.keys());
         }
         self.cx.shared.catalog.store(Arc::new(catalog));
     }
 
     fn propose(&mut self, record: ChangeRecord, reply: RpcReplyPort<ChangeOutcome>) {
-        if let Some(outcome) = self.config.outcome(&record.change_id) {
+        if let Some(outcome) = self.config.change_outcome(&record.change_id) {
             let _ = reply.send(outcome.clone());
             return;
         }
--- a/havengrade_router/src/services/endpoints.rs
+++ b/havengrade_router/src/services/endpoints.rs
@@ -166,7 +166,7 @@
     /// Watches the endpoints of the configuration in force; scripts know nothing of reports and are left out.
     fn follow_configuration(&mut self) {
         let catalog = self.cx.shared.catalog.load_full();
-        if !self.watched.is_empty() && self.catalog.has_endpoints_of(&catalog.config) {
+        if !self.watched.is_empty() && self.catalog.shares_endpoints_with(&catalog.config) {
             return;
         }
         let mut known = std::mem::take(&mut self.watched);
--- a/havengrade_router/src/services/evidence.rs
+++ b/havengrade_router/src/services/evidence.rs
@@ -144,7 +144,7 @@
     /// Proposes how a roll-out should stand; the first VM whose record takes effect decides.
     fn propose(&mut self, config: &Config, next: &Rollout) {
         let item = Item::Rollout(next.clone());
-        let base = config.base_of(&item.scope());
+        let base = config.base_revision(&item.scope());
         let (verb, reason) = match next.state {
             RolloutState::Halted => ("halt", "the evidence speaks against the new version"),
             RolloutState::Running | RolloutState::Paused => ("step", "the step has gathered its evidence"),
--- a/havengrade_router/src/services/operators.rs
+++ b/havengrade_router/src/services/operators.rs
@@ -7,8 +7,8 @@
 use futures::{SinkExt as _, StreamExt as _};
 use havengrade_core::{
     config::{
-        Base, Change, ChangeFile, ChangeOutcome, ChangeRecord, Config, ConfigRecord, Difference, Effect, Item,
-        ScopeKind, ScopedChange, VoidReason,
+        BaseRevision, Change, ChangeFile, ChangeOutcome, ChangeRecord, Config, ConfigRecord, Item, ItemDiff,
+        ReplayOutcome, ScopeKind, ScopedChange, VoidReason,
     },
     ids::Offset,
     membership::Member,
@@ -140,11 +140,11 @@
             apply(cx, author, change_id, reason, changes).await.map(OperatorReply::Change)
         },
         OperatorCall::Withdraw { change_id, reason, version } => {
-            let changes = vec![ScopedChange { base: Base::Any, change: Change::Withdraw { version } }];
+            let changes = vec![ScopedChange { base: BaseRevision::Any, change: Change::Withdraw { version } }];
             apply(cx, author, change_id, reason, changes).await.map(OperatorReply::Change)
         },
         OperatorCall::Outcome { change_id } => {
-            let outcome = cx.shared.catalog.load().config.outcome(&change_id).cloned();
+            let outcome = cx.shared.catalog.load().config.change_outcome(&change_id).cloned();
             Ok(OperatorReply::Change(change_reply(cx, change_id, outcome).await))
         },
         OperatorCall::Show { kind } => show(cx, &kind).map(OperatorReply::Items),
@@ -182,9 +182,9 @@
 fn plan(cx: &Context, text: &str) -> Result<Plan, OperatorFault> {
     let file = ChangeFile::parse(text).map_err(|error| bad_request("change_file", &error.to_string()))?;
     let catalog = cx.shared.catalog.load();
-    let changes = file.against(&catalog.config);
+    let changes = file.changes_against(&catalog.config);
     let json = |item: &Option<Item>| item.clone().and_then(|item| serde_json::to_string(&item.without_secrets()).ok());
-    let differences = Difference::list(&catalog.config, &changes)
+    let differences = ItemDiff::for_changes(&catalog.config, &changes)
         .iter()
         .map(|it| {
             let (before, after) = (json(&it.before), json(&it.after));
@@ -193,7 +193,7 @@
         .collect();
     let changes_json = serde_json::to_string(&changes).unwrap_or_default();
     let record = record_of(cx, String::new(), String::new(), String::new(), changes);
-    let faults = match catalog.config.attempt(catalog.config.next_offset, &record) {
+    let faults = match catalog.config.try_apply(catalog.config.next_offset, &record) {
         Ok(_) => Vec::new(),
         Err(VoidReason::Invalid(faults)) => faults.iter().map(ToString::to_string).collect(),
         Err(conflict @ VoidReason::Conflict { .. }) => vec![conflict.to_string()],
@@ -332,13 +332,15 @@
     }
 }
 
-fn audit_entry(offset: Offset, change: &ChangeRecord, effect: &Effect) -> AuditEntry {
+fn audit_entry(offset: Offset, change: &ChangeRecord, effect: &ReplayOutcome) -> AuditEntry {
     let (effect, detail) = match effect {
-        Effect::Effective => ("effective", String::new()),
-        Effect::Void(reason @ VoidReason::Conflict { .. }) => ("conflict", reason.to_string()),
-        Effect::Void(reason @ VoidReason::Invalid(_)) => ("invalid", reason.to_string()),
-        Effect::Repeated(_) => ("repeated", "its change id stands further up".to_owned()),
-        Effect::Restored | Effect::Passed => ("passed", "it stands before the oldest snapshot".to_owned()),
+        ReplayOutcome::Effective => ("effective", String::new()),
+        ReplayOutcome::Void(reason @ VoidReason::Conflict { .. }) => ("conflict", reason.to_string()),
+        ReplayOutcome::Void(reason @ VoidReason::Invalid(_)) => ("invalid", reason.to_string()),
+        ReplayOutcome::Duplicate(_) => ("repeated", "its change id stands further up".to_owned()),
+        ReplayOutcome::Restored | ReplayOutcome::Skipped => {
+            ("passed", "it stands before the oldest snapshot".to_owned())
+        },
     };
     let at = change.at.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let scopes = change.changes.iter().map(|scoped| scoped.change.scope().to_string()).collect();
--- a/havengrade_router/src/traffic/plain.rs
+++ b/havengrade_router/src/traffic/plain.rs
@@ -113,7 +113,7 @@
     let keyed = job.keyed.as_ref().filter(|_| !job.is_repeatable())?;
     let Route::Service { service } = &job.decision.route else { return None };
     let catalog = job.cx.shared.catalog.load();
-    endpoint_selection::endpoint_for_key(&catalog, catalog.services(service), &keyed.key.key).cloned()
+    endpoint_selection::endpoint_for_key(&catalog, catalog.endpoints_of(service), &keyed.key.key).cloned()
 }
 
 async fn send(job: &Job, endpoint: &Endpoint, content_type: &str, path: &str) -> Result<Answer, HttpError> {
--- a/havengrade_router/src/traffic/routes.rs
+++ b/havengrade_router/src/traffic/routes.rs
@@ -195,7 +195,7 @@
 /// Whether a lost answer can be had from the endpoint, which recognises the key and won't run it again.
 fn can_ask_again(cx: &Context, meta: &RequestMeta, state: &KeyState) -> bool {
     let catalog = cx.shared.catalog.load();
-    let candidates = meta.service.as_ref().map_or(&[][..], |service| catalog.services(service));
+    let candidates = meta.service.as_ref().map_or(&[][..], |service| catalog.endpoints_of(service));
     let recognises = endpoint_selection::endpoint_for_key(&catalog, candidates, "").is_some();
     recognises && state.outcome == Some(Outcome::MayHaveRun)
 }
