--- a/havengrade_core/src/published/attempt.rs
+++ b/havengrade_core/src/published/attempt.rs
@@ -31,7 +31,7 @@
 
 /// What a caller whose request got no answer may be told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Promise {
+pub enum Guarantee {
     /// The request has not run and never will; the caller may send it again.
     NotRun,
     /// Nothing: it may have run.
@@ -58,7 +58,7 @@
     }
 
     /// Notes how a try ended.
-    pub fn note(&mut self, state: RunState) {
+    pub fn record(&mut self, state: RunState) {
         match state {
             RunState::NotSent => self.unsent += 1,
             RunState::NotRun => self.sent += 1,
@@ -85,9 +85,9 @@
     /// use havengrade_core::published::{attempt::{Attempts, RunState}, route::Repeat};
     ///
     /// let mut attempts = Attempts::new(Repeat::Never, 2);
-    /// attempts.note(RunState::NotRun);
+    /// attempts.record(RunState::NotRun);
     /// assert!(attempts.may_try_again());
-    /// attempts.note(RunState::MayHaveRun);
+    /// attempts.record(RunState::MayHaveRun);
     /// assert!(!attempts.may_try_again());
     /// ```
     pub fn may_try_again(&self) -> bool {
@@ -96,7 +96,7 @@
     }
 
     /// What the caller may be told where no answer came.
-    pub fn promise(&self) -> Promise {
-        if self.may_have_run { Promise::None } else { Promise::NotRun }
+    pub fn guarantee(&self) -> Guarantee {
+        if self.may_have_run { Guarantee::None } else { Guarantee::NotRun }
     }
 }
--- a/havengrade_core/src/published/emptied.rs
+++ b/havengrade_core/src/published/emptied_domains.rs
@@ -13,7 +13,7 @@
 ///
 /// They may have turned cold shortly before. An endpoint writes its entry about every 1.2 s, the list is read every 0.6 s, and a VM
 /// asks the readers every 0.4 s, so that by then each entry was written since.
-const ENTRY_TIME: Duration = Duration::from_millis(3000);
+const ENTRY_UPDATE_TIME: Duration = Duration::from_millis(3000);
 
 /// What operators wrote of emptied domains.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,15 +35,15 @@
 ///
 /// ```
 /// use std::time::{Duration, SystemTime};
-/// use havengrade_core::published::emptied::{DomainEvent, EmptiedDomains};
+/// use havengrade_core::published::emptied_domains::{DomainEvent, EmptiedDomains};
 ///
 /// let now = SystemTime::UNIX_EPOCH;
 /// let mut domains = EmptiedDomains::default();
-/// domains.take(DomainEvent::Emptied("d1".into()), now);
+/// domains.apply(DomainEvent::Emptied("d1".into()), now);
 /// assert!(domains.is_emptied("d1") && !domains.is_emptied("d2"));
-/// domains.take(DomainEvent::All { emptied: Vec::new(), is_sure: false }, now);
+/// domains.apply(DomainEvent::All { emptied: Vec::new(), is_sure: false }, now);
 /// assert!(domains.is_emptied("d1"));
-/// domains.take(DomainEvent::All { emptied: Vec::new(), is_sure: true }, now);
+/// domains.apply(DomainEvent::All { emptied: Vec::new(), is_sure: true }, now);
 /// assert!(!domains.is_emptied("d1") && domains.may_be_cold("d1", now));
 /// assert!(!domains.may_be_cold("d1", now + Duration::from_secs(4)));
 /// ```
@@ -64,7 +64,7 @@
 
 impl EmptiedDomains {
     /// Takes what operators wrote; gives the domains that are emptied since, and those that are taken back.
-    pub fn take(&mut self, event: DomainEvent, now: SystemTime) -> (Vec<DomainId>, Vec<DomainId>) {
+    pub fn apply(&mut self, event: DomainEvent, now: SystemTime) -> (Vec<DomainId>, Vec<DomainId>) {
         let (emptied, refilled) = match event {
             DomainEvent::Emptied(domain) => (vec![domain], Vec::new()),
             DomainEvent::Refilled(domain) => (Vec::new(), vec![domain]),
@@ -95,7 +95,7 @@
 
     /// Whether the endpoints of a domain may be cold without their entries telling it yet, since it was taken back lately.
     pub fn may_be_cold(&self, domain: &str, now: SystemTime) -> bool {
-        self.refilled.get(domain).is_some_and(|at| now < *at + ENTRY_TIME)
+        self.refilled.get(domain).is_some_and(|at| now < *at + ENTRY_UPDATE_TIME)
     }
 
     /// Time for which the last of the emptied domains is known to be, for callers who must wait for one of them.
@@ -105,7 +105,7 @@
     }
 
     /// All emptied domains, for a VM that asks.
-    pub fn told(&self) -> DomainEvent {
+    pub fn snapshot(&self) -> DomainEvent {
         DomainEvent::All { emptied: self.emptied.keys().cloned().collect(), is_sure: self.is_sure }
     }
 }
--- a/havengrade_core/src/published/subset.rs
+++ b/havengrade_core/src/published/endpoint_subset.rs
@@ -12,15 +12,15 @@
 };
 
 /// Endpoints of a service's version that are used at least; where there are fewer than twice as many, all are.
-const LEAST: usize = 512;
+const MIN_ENDPOINTS: usize = 512;
 /// Requests in progress at one VM for which what is used has slots: a VM with an eighth of a core has fewer.
-const REQUESTS_A_VM: usize = 16;
+const REQUESTS_PER_VM: usize = 16;
 /// Part of a step by which the number of endpoints or VMs may change before another part is used.
-const SLACK: f64 = 0.25;
+const HYSTERESIS: f64 = 0.25;
 
 /// How many times the endpoints of each service's version are halved.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Subset {
+pub struct EndpointSubset {
     halvings: BTreeMap<(ServiceId, SoftwareVersion), u32>,
 }
 
@@ -31,10 +31,10 @@
     slots: usize,
 }
 
-impl Subset {
+impl EndpointSubset {
     /// What a fleet of so many VMs uses of the endpoints; `self` is what it has used before, which goes on while it is about right.
     #[must_use]
-    pub fn next<'a>(&self, endpoints: impl Iterator<Item = &'a ListedEndpoint>, vms: usize) -> Self {
+    pub fn resized<'a>(&self, endpoints: impl Iterator<Item = &'a ListedEndpoint>, vms: usize) -> Self {
         let mut sizes: HashMap<(&str, &str), Size> = HashMap::new();
         for endpoint in endpoints {
             let size = sizes.entry((&endpoint.service, &endpoint.version)).or_default();
@@ -71,9 +71,9 @@
 
 fn halvings(size: Size, vms: usize, before: u32) -> u32 {
     let slots_each = (size.slots / size.endpoints.max(1)).max(1);
-    let wanted = LEAST.max((vms * REQUESTS_A_VM).div_ceil(slots_each));
+    let wanted = MIN_ENDPOINTS.max((vms * REQUESTS_PER_VM).div_ceil(slots_each));
     let ratio = size.endpoints as f64 / wanted as f64;
     let step = f64::from(2u32.saturating_pow(before));
-    let is_about_right = ratio >= step * (1.0 - SLACK) && ratio < step * 2.0 * (1.0 + SLACK);
+    let is_about_right = ratio >= step * (1.0 - HYSTERESIS) && ratio < step * 2.0 * (1.0 + HYSTERESIS);
     if before > 0 && is_about_right { before } else { ratio.max(1.0).log2() as u32 }
 }
--- a/havengrade_core/src/published/configured.rs
+++ b/havengrade_core/src/published/from_config.rs
@@ -13,7 +13,7 @@
 /// The published part of a configuration; a key of an account is known by its digest.
 ///
 /// ```
-/// use havengrade_core::{config::Config, published::{configured::publication, route::CallerLimits}};
+/// use havengrade_core::{config::Config, published::{from_config::publication, route::CallerLimits}};
 ///
 /// let limits = CallerLimits::default();
 /// assert_eq!(publication(&Config::default(), limits).version, 0);
--- a/havengrade_core/src/published/mod.rs
+++ b/havengrade_core/src/published/mod.rs
@@ -3,16 +3,16 @@
 //! A published route lets the callers of a home-grown script move over without a change: the router
 //! chooses account, endpoint and model for each request, and leaves its body and headers as they are.
 
-pub mod allowance;
 pub mod attempt;
 pub mod cold;
-pub mod come_back;
-pub mod configured;
 pub mod directory;
-pub mod emptied;
+pub mod emptied_domains;
+pub mod endpoint_subset;
+pub mod from_config;
 pub mod grounds;
 pub mod handing;
 mod judgement;
+pub mod model_choice;
 mod odds;
 mod order;
 pub mod peers;
@@ -21,18 +21,18 @@
 pub mod position;
 pub mod recent;
 pub mod relay;
-pub mod restraint;
+pub mod retry_after;
 pub mod rollout;
 pub mod route;
 mod running;
 mod sample;
 mod seen;
-pub mod sent_parts;
+pub mod send_budget;
+pub mod send_limits;
+pub mod sent_prefixes;
 pub mod signals;
-pub mod size;
 pub mod start;
-pub mod subset;
 pub mod times;
 mod told;
 mod versions;
-pub mod withdrawal;
+pub mod withdrawal_policy;
--- a/havengrade_core/src/published/size.rs
+++ b/havengrade_core/src/published/model_choice.rs
@@ -5,7 +5,7 @@
 /// Confidence, from 0 to 100, below which a model is more likely wrong than right.
 ///
 /// A model's opinion of its answer is rough, but even: it is right as often as not where it says so.
-const EVEN: u8 = 50;
+const ESCALATION_CONFIDENCE: u8 = 50;
 
 /// The model for a first try at a request whose caller leaves the choice to the router.
 ///
@@ -14,32 +14,32 @@
 /// not known.
 ///
 /// ```
-/// use havengrade_core::published::size::first;
+/// use havengrade_core::published::model_choice::initial_model;
 ///
 /// let models = ["small".to_owned(), "large".to_owned()];
-/// assert_eq!(first(&models, true), Some(&models[0]));
-/// assert_eq!(first(&models, false), Some(&models[1]));
+/// assert_eq!(initial_model(&models, true), Some(&models[0]));
+/// assert_eq!(initial_model(&models, false), Some(&models[1]));
 /// ```
-pub fn first(models: &[ModelId], may_ask_again: bool) -> Option<&ModelId> {
-    if may_ask_again { models.first() } else { models.last() }
+pub fn initial_model(models: &[ModelId], may_escalate: bool) -> Option<&ModelId> {
+    if may_escalate { models.first() } else { models.last() }
 }
 
 /// The model to ask instead of one that doubts its answer, if any.
 ///
 /// ```
-/// use havengrade_core::published::size::stronger;
+/// use havengrade_core::published::model_choice::escalation_model;
 ///
 /// let models = ["small".to_owned(), "large".to_owned()];
-/// assert_eq!(stronger(&models, "small", Some(20)), Some(&models[1]));
-/// assert_eq!(stronger(&models, "small", Some(80)), None);
-/// assert_eq!(stronger(&models, "large", Some(20)), None);
+/// assert_eq!(escalation_model(&models, "small", Some(20)), Some(&models[1]));
+/// assert_eq!(escalation_model(&models, "small", Some(80)), None);
+/// assert_eq!(escalation_model(&models, "large", Some(20)), None);
 /// ```
-pub fn stronger<'a>(models: &'a [ModelId], model: &str, confidence: Option<u8>) -> Option<&'a ModelId> {
-    let doubts = confidence.is_some_and(|confidence| confidence < EVEN);
+pub fn escalation_model<'a>(models: &'a [ModelId], model: &str, confidence: Option<u8>) -> Option<&'a ModelId> {
+    let doubts = confidence.is_some_and(|confidence| confidence < ESCALATION_CONFIDENCE);
     models.last().filter(|largest| doubts && *largest != model)
 }
 
 /// Whether a request of a route may be asked again of another model, once it was sent to a first one.
-pub fn may_ask_again(route: &PublishedRoute, is_repeatable: bool, is_resumed: bool) -> bool {
+pub fn may_escalate(route: &PublishedRoute, is_repeatable: bool, is_resumed: bool) -> bool {
     is_repeatable && !is_resumed && route.max_tries > 1 && route.models.len() > 1
 }
--- a/havengrade_core/src/published/placement.rs
+++ b/havengrade_core/src/published/placement.rs
@@ -13,7 +13,7 @@
 use crate::{
     endpoint_selection::EndpointState,
     ids::EndpointId,
-    published::{directory::ListedEndpoint, peers::Work, sent_parts::PrefixKey},
+    published::{directory::ListedEndpoint, peers::Work, sent_prefixes::PrefixKey},
     ranking::rank,
 };
 
@@ -53,7 +53,7 @@
     /// Work of this VM and of the others that is in progress there.
     pub work: Work,
     /// Shared tokens of the prompt that this VM sent there lately, in those of the largest model.
-    pub cached: u32,
+    pub cached_tokens: u32,
 }
 
 impl Candidate<'_> {
@@ -66,7 +66,7 @@
     /// Shared tokens of a prompt that have to be read here.
     fn read_anew(&self, prompt: &Prompt, home: Option<&str>) -> u32 {
         let is_home = home == Some(self.endpoint.id.as_str());
-        if is_home { 0 } else { prompt.shared_tokens.saturating_sub(self.cached) }
+        if is_home { 0 } else { prompt.shared_tokens.saturating_sub(self.cached_tokens) }
     }
 
     /// What a generation costs here, in prompt tokens, seen from `domain`.
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Prompt {
     /// What the shared parts are known by, model included; an endpoint is expected to have them cached.
-    pub shared_part: Option<PrefixKey>,
+    pub shared_prefix: Option<PrefixKey>,
     /// Tokens of the shared parts, in those of the largest model.
     pub shared_tokens: u32,
     /// Tokens that no other request has, in those of the largest model.
@@ -94,7 +94,7 @@
 
 /// What an endpoint is chosen for.
 #[derive(Clone, Copy, Debug)]
-pub struct Placement<'a> {
+pub struct PlacementContext<'a> {
     /// Failure domain of the VM that chooses.
     pub failure_domain: &'a str,
     /// Endpoints that were tried already.
@@ -109,7 +109,7 @@
 
 /// An endpoint that was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Placed<'a> {
+pub struct PlacedEndpoint<'a> {
     /// The endpoint.
     pub endpoint: &'a ListedEndpoint,
     /// Tokens of the prompt that it has to read, in those of the largest model.
@@ -117,7 +117,11 @@
 }
 
 /// Chooses an endpoint; those that are passed over after failures are taken only where no other is left.
-pub fn place<'a>(candidates: &[Candidate<'a>], placement: Placement<'_>, rng: &mut dyn Rng) -> Option<Placed<'a>> {
+pub fn place<'a>(
+    candidates: &[Candidate<'a>],
+    placement: PlacementContext<'_>,
+    rng: &mut dyn Rng,
+) -> Option<PlacedEndpoint<'a>> {
     let untried: Vec<&Candidate<'a>> =
         candidates.iter().filter(|c| !placement.tried.contains(&c.endpoint.id)).collect();
     let is_usable = |c: &&Candidate<'a>| c.state.is_usable(placement.now);
@@ -137,7 +141,7 @@
                 (0..PLAIN_DRAWN).filter_map(|_| draw(&among, rng)).collect()
             };
             let costs = drawn.into_iter().map(|c| (c.occupancy(placement.failure_domain), c));
-            Some(Placed { endpoint: least(costs, rng)?.endpoint, tokens: 0 })
+            Some(PlacedEndpoint { endpoint: least(costs, rng)?.endpoint, tokens: 0 })
         },
     }
 }
@@ -165,19 +169,19 @@
     prompt: &Prompt,
     domain: &str,
     rng: &mut dyn Rng,
-) -> Option<Placed<'a>> {
+) -> Option<PlacedEndpoint<'a>> {
     let near: Vec<&Candidate<'a>> = among.iter().copied().filter(|c| c.endpoint.failure_domain == domain).collect();
-    let part = prompt.shared_part.as_deref();
+    let part = prompt.shared_prefix.as_deref();
     let home = part.and_then(|part| first_ranked(among, part));
     let near_home = part.and_then(|part| first_ranked(&near, part));
     let mut looked_at: Vec<&Candidate<'a>> = (0..DRAWN).filter_map(|_| draw(among, rng)).collect();
     looked_at.extend((0..NEAR_DRAWN).filter_map(|_| draw(&near, rng)));
     looked_at.extend(home.into_iter().chain(near_home));
-    looked_at.extend(among.iter().copied().filter(|c| c.cached > 0));
+    looked_at.extend(among.iter().copied().filter(|c| c.cached_tokens > 0));
     let home = home.map(|c| c.endpoint.id.as_str());
     let chosen = least(looked_at.into_iter().map(|c| (c.cost(prompt, home, domain), c)), rng)?;
     let tokens = prompt.own_tokens + chosen.read_anew(prompt, home);
-    Some(Placed { endpoint: chosen.endpoint, tokens })
+    Some(PlacedEndpoint { endpoint: chosen.endpoint, tokens })
 }
 
 fn draw<'a, 'b>(among: &[&'b Candidate<'a>], rng: &mut dyn Rng) -> Option<&'b Candidate<'a>> {
--- a/havengrade_core/src/published/route.rs
+++ b/havengrade_core/src/published/route.rs
@@ -143,10 +143,10 @@
     ///     ModelPrice { name: "large".into(), cost: 0.4 },
     /// ];
     /// let service = PublishedService { models, ..PublishedService::default() };
-    /// assert_eq!(service.work_of(Some("small")), 0.25);
-    /// assert_eq!(service.work_of(None), 1.0);
+    /// assert_eq!(service.relative_work(Some("small")), 0.25);
+    /// assert_eq!(service.relative_work(None), 1.0);
     /// ```
-    pub fn work_of(&self, model: Option<&str>) -> f64 {
+    pub fn relative_work(&self, model: Option<&str>) -> f64 {
         let dearest = self.models.iter().map(|model| model.cost).fold(0.0, f64::max);
         let named = self.models.iter().find(|known| Some(known.name.as_str()) == model);
         named.filter(|_| dearest > 0.0).map_or(1.0, |known| known.cost / dearest)
--- a/havengrade_core/src/published/allowance.rs
+++ b/havengrade_core/src/published/send_budget.rs
@@ -21,18 +21,18 @@
 /// what it may, and the endpoint gets half as much again, which operators allow for.
 pub const HOLDERS: usize = 2;
 /// Requests that a VM may save up for an endpoint; more would come at once.
-const MOST_SAVED: f64 = 1.0;
+const MAX_BURST: f64 = 1.0;
 
 /// Whether a VM is one of those that may send to an endpoint.
 ///
 /// `others` are the VMs that it knows. Those of the endpoint's failure domain come first, since for them it is near and
-/// they have the most to send there; those that are missing there are made up for by the first of the others. `turn` counts how
+/// they have the most to send there; those that are missing there are made up for by the first of the others. `round` counts how
 /// often the next ones took over, since nothing was heard of those before.
 pub fn is_holder<'a>(
     me: (&VmId, &str),
     others: impl Iterator<Item = &'a Peer> + Clone,
     endpoint: &ListedEndpoint,
-    turn: u64,
+    round: u64,
 ) -> bool {
     let (vm, domain) = me;
     let place = |vm: &VmId| rank(&[vm, &endpoint.id]);
@@ -46,75 +46,76 @@
         others.clone().filter(is_near).count() + far_before
     };
     let all = others.count() + 1;
-    let first = usize::try_from(turn.wrapping_mul(HOLDERS as u64) % all as u64).unwrap_or_default();
+    let first = usize::try_from(round.wrapping_mul(HOLDERS as u64) % all as u64).unwrap_or_default();
     (index + all - first) % all < HOLDERS
 }
 
 /// By what it was worked out whether a VM is a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HolderBasis {
+pub struct HolderInputs {
     /// Revision of the known VMs.
-    pub revision: u64,
+    pub vms_revision: u64,
     /// How often the next VMs took over.
-    pub turn: u64,
+    pub round: u64,
 }
 
 /// What this VM may send to an endpoint.
 #[derive(Clone, Copy, Debug)]
-struct Allowance {
+struct SendBudget {
     is_holder: bool,
-    basis: HolderBasis,
+    inputs: HolderInputs,
     /// Requests that may be sent now.
-    saved: f64,
-    counted: SystemTime,
+    available: f64,
+    updated_at: SystemTime,
 }
 
 /// What this VM may send to the endpoints that take few requests.
 #[derive(Clone, Debug, Default)]
-pub struct Allowances {
-    by_endpoint: HashMap<EndpointId, Allowance>,
+pub struct SendBudgets {
+    by_endpoint: HashMap<EndpointId, SendBudget>,
 }
 
-impl Allowances {
+impl SendBudgets {
     /// Time until this VM may send a request to an endpoint that takes `per_s` of them a second; zero for now.
     ///
-    /// Whether it is one of the holders is worked out again where the basis of that has changed. Where it is none, this is the time
+    /// Whether it is one of the holders is worked out again where the inputs of that has changed. Where it is none, this is the time
     /// in which the endpoint takes a request from another VM.
-    pub fn ready_in(
+    pub fn time_until_ready(
         &mut self,
         endpoint: &str,
         per_s: f64,
-        basis: HolderBasis,
+        inputs: HolderInputs,
         is_holder: impl FnOnce() -> bool,
         now: SystemTime,
     ) -> Duration {
         let before = self.by_endpoint.get(endpoint).copied();
-        let (saved, counted) = before.map_or((0.0, now), |before| (before.saved, before.counted));
-        let is_holder = before.filter(|before| before.basis == basis).map_or_else(is_holder, |before| before.is_holder);
+        let (available, updated_at) = before.map_or((0.0, now), |before| (before.available, before.updated_at));
+        let is_holder =
+            before.filter(|before| before.inputs == inputs).map_or_else(is_holder, |before| before.is_holder);
         let own_per_s = per_s / HOLDERS as f64;
-        let passed = now.duration_since(counted).unwrap_or_default();
-        let saved = (saved + passed.as_secs_f64() * own_per_s).min(MOST_SAVED);
-        self.by_endpoint.insert(endpoint.to_owned(), Allowance { is_holder, basis, saved, counted: now });
+        let passed = now.duration_since(updated_at).unwrap_or_default();
+        let available = (available + passed.as_secs_f64() * own_per_s).min(MAX_BURST);
+        self.by_endpoint.insert(endpoint.to_owned(), SendBudget { is_holder, inputs, available, updated_at: now });
         if !is_holder {
-            return time_for(1.0, per_s);
+            return time_to_earn(1.0, per_s);
         }
-        time_for(1.0 - saved, own_per_s)
+        time_to_earn(1.0 - available, own_per_s)
     }
 
     /// Takes what a request costs that is sent to an endpoint.
-    pub fn take(&mut self, endpoint: &str) {
-        if let Some(allowance) = self.by_endpoint.get_mut(endpoint) {
-            allowance.saved = (allowance.saved - 1.0).max(0.0);
+    pub fn spend(&mut self, endpoint: &str) {
+        if let Some(budget) = self.by_endpoint.get_mut(endpoint) {
+            budget.available = (budget.available - 1.0).max(0.0);
         }
     }
 
     /// Forgets what was not asked for in a time.
     pub fn prune(&mut self, kept_for: Duration, now: SystemTime) {
-        self.by_endpoint.retain(|_, allowance| now < allowance.counted + kept_for);
+        self.by_endpoint.retain(|_, budget| now < budget.updated_at + kept_for);
     }
 }
 
 /// Time in which so many requests come about.
-fn time_for(requests: f64, per_s: f64) -> Duration {
+fn time_to_earn(requests: f64, per_s: f64) -> Duration {
     Duration::try_from_secs_f64(requests / per_s).unwrap_or(Duration::MAX)
 }
--- a/havengrade_core/src/published/signals.rs
+++ b/havengrade_core/src/published/signals.rs
@@ -16,11 +16,11 @@
 };
 
 /// Time for which others are told that an endpoint names no limit any longer, and for which what gone endpoints said is kept.
-const KEPT: Duration = Duration::from_secs(120);
+const RETENTION: Duration = Duration::from_secs(120);
 /// Longest rest that is granted; a longer one would be a mistake, and nothing could take it back.
-pub const MOST_REST: Duration = Duration::from_secs(600);
+pub const MAX_BACKOFF: Duration = Duration::from_secs(600);
 /// Endpoints of which a VM that starts is told; they fit a frame.
-const MOST_HANDED_ON: usize = 128;
+const MAX_TRANSFERRED: usize = 128;
 
 /// What one answer says of the endpoint that gave it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -30,7 +30,7 @@
     /// Whether it is about to leave.
     pub is_leaving: bool,
     /// Time for which it wants nothing from the VM that it answers.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
 }
 
 /// What became known of an endpoint.
@@ -41,9 +41,9 @@
     /// It names no limit any longer.
     Unlimited,
     /// It is about to leave.
-    Leaving,
+    ShuttingDown,
     /// It wants nothing from this VM for so long.
-    Resting(Duration),
+    BackoffRequested(Duration),
 }
 
 /// A limit that an endpoint named, or that it named none.
@@ -52,8 +52,8 @@
     per_s: Option<f64>,
     /// When an answer last said so, as far as any VM told.
     said: SystemTime,
-    /// Whose turn it was then to send to the endpoint.
-    turn: u64,
+    /// Whose round it was then to send to the endpoint.
+    round: u64,
 }
 
 /// What is known of one start of an endpoint.
@@ -106,26 +106,26 @@
         }
         self.leaving_since = Some(since);
         self.told = 0;
-        Some(SignalChange::Leaving)
+        Some(SignalChange::ShuttingDown)
     }
 
     fn take_rest(&mut self, rest: Duration, now: SystemTime) -> Option<SignalChange> {
-        let rest = rest.min(MOST_REST);
+        let rest = rest.min(MAX_BACKOFF);
         let was_resting = self.rest_until.is_some_and(|until| now < until);
         self.rest_until = self.rest_until.max(Some(now + rest));
-        (!was_resting).then_some(SignalChange::Resting(rest))
+        (!was_resting).then_some(SignalChange::BackoffRequested(rest))
     }
 }
 
 /// A limit as VMs tell each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ToldLimit {
+pub struct ReportedLimit {
     /// Requests a second from all VMs together; none where the endpoint names no limit any longer.
     pub per_s: Option<f64>,
     /// Time since an answer last said so.
     pub age: Duration,
-    /// Whose turn it was then to send to the endpoint.
-    pub turn: u64,
+    /// Whose round it was then to send to the endpoint.
+    pub round: u64,
 }
 
 /// A limit that holds.
@@ -135,40 +135,40 @@
     pub per_s: f64,
     /// Time since an answer last said so.
     pub age: Duration,
-    /// Whose turn it was then to send to the endpoint.
-    pub turn: u64,
+    /// Whose round it was then to send to the endpoint.
+    pub round: u64,
 }
 
 /// What an endpoint said, as VMs tell each other.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ToldSignal {
+pub struct ReportedSignal {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Which of its starts said it.
     pub start: Option<EndpointStart>,
     /// Its limit, where it named one.
-    pub limit: Option<ToldLimit>,
+    pub limit: Option<ReportedLimit>,
     /// Time since it was known that it leaves.
-    pub leaving_for: Option<Duration>,
+    pub shutting_down_for: Option<Duration>,
 }
 
 /// What is known of what endpoints said.
 #[derive(Clone, Debug, Default)]
-pub struct Signals {
+pub struct SignalTable {
     known: HashMap<EndpointId, Known>,
 }
 
-impl Signals {
+impl SignalTable {
     /// Takes what an answer says of its endpoint; gives what changed.
     ///
     /// Where the answer does not say a limit it ends one only if it `is_whole`, surely the endpoint's own answer to a request that it served.
-    /// `turn` says whose turn it is to send to an endpoint with a limit.
-    pub fn note(
+    /// `round` says whose round it is to send to an endpoint with a limit.
+    pub fn record_answer(
         &mut self,
         endpoint: &ListedEndpoint,
         signal: Signal,
         is_whole: bool,
-        turn: u64,
+        round: u64,
         now: SystemTime,
     ) -> Vec<SignalChange> {
         let says_nothing = signal == Signal::default();
@@ -179,22 +179,22 @@
         known.seen = now;
         let ends_limit = is_whole && known.limit.is_some_and(|limit| limit.per_s.is_some());
         let limit = (signal.limit_per_s.is_some() || ends_limit).then_some(signal.limit_per_s);
-        let limit = limit.and_then(|per_s| known.take_limit(Limit { per_s, said: now, turn }));
+        let limit = limit.and_then(|per_s| known.take_limit(Limit { per_s, said: now, round }));
         let leaving = signal.is_leaving.then(|| known.take_leaving(now)).flatten();
-        let rest = signal.rest.and_then(|rest| known.take_rest(rest, now));
+        let rest = signal.backoff.and_then(|rest| known.take_rest(rest, now));
         [limit, leaving, rest].into_iter().flatten().collect()
     }
 
     /// Takes what another VM tells; gives what changed, by endpoint.
-    pub fn hear(&mut self, told: Vec<ToldSignal>, now: SystemTime) -> Vec<(EndpointId, SignalChange)> {
+    pub fn merge_reported(&mut self, told: Vec<ReportedSignal>, now: SystemTime) -> Vec<(EndpointId, SignalChange)> {
         let mut changes = Vec::new();
-        for ToldSignal { endpoint, start, limit, leaving_for } in told {
+        for ReportedSignal { endpoint, start, limit, shutting_down_for } in told {
             let Some(known) = self.of_start(&endpoint, start, now) else { continue };
             known.seen = now;
-            let limit = limit.and_then(|ToldLimit { per_s, age, turn }| {
-                known.take_limit(Limit { per_s, said: time_from_age(age, now), turn })
+            let limit = limit.and_then(|ReportedLimit { per_s, age, round }| {
+                known.take_limit(Limit { per_s, said: time_from_age(age, now), round })
             });
-            let leaving = leaving_for.and_then(|age| known.take_leaving(time_from_age(age, now)));
+            let leaving = shutting_down_for.and_then(|age| known.take_leaving(time_from_age(age, now)));
             changes.extend(limit.into_iter().chain(leaving).map(|change| (endpoint.clone(), change)));
         }
         changes
@@ -222,7 +222,7 @@
     }
 
     /// Time for which an endpoint wants nothing more from this VM.
-    pub fn rest_left(&self, endpoint: &ListedEndpoint, now: SystemTime) -> Option<Duration> {
+    pub fn backoff_left(&self, endpoint: &ListedEndpoint, now: SystemTime) -> Option<Duration> {
         let until = self.get(endpoint)?.rest_until?;
         until.duration_since(now).ok().filter(|left| !left.is_zero())
     }
@@ -231,39 +231,39 @@
     pub fn limit(&self, endpoint: &ListedEndpoint, now: SystemTime) -> Option<CurrentLimit> {
         let limit = self.get(endpoint)?.limit?;
         let age = now.duration_since(limit.said).unwrap_or_default();
-        Some(CurrentLimit { per_s: limit.per_s?, age, turn: limit.turn })
+        Some(CurrentLimit { per_s: limit.per_s?, age, round: limit.round })
     }
 
     /// Whether others have not been told of something yet.
-    pub fn has_news(&self) -> bool {
+    pub fn has_unreported(&self) -> bool {
         self.known.values().any(|known| known.is_shared() && known.told < REPORTS_PER_ENTRY)
     }
 
     /// What the next report tells: what changed, and a few others in turn, so that the ages of limits are known.
-    pub fn tell(&mut self, now: SystemTime) -> Vec<ToldSignal> {
+    pub fn next_report(&mut self, now: SystemTime) -> Vec<ReportedSignal> {
         let shared = self.known.iter().filter(|(_, known)| known.is_shared());
         let next = least_reported(shared.map(|(endpoint, known)| (endpoint.clone(), known.told)));
         let mut told = Vec::new();
         for endpoint in next {
             if let Some(known) = self.known.get_mut(&endpoint) {
                 known.told += 1;
-                told.push(as_told(&endpoint, known, now));
+                told.push(to_report(&endpoint, known, now));
             }
         }
         told
     }
 
     /// What concerns others, for a VM that starts; the newest of it where there is much, since reports tell the rest.
-    pub fn hand_on(&self, now: SystemTime) -> Vec<ToldSignal> {
+    pub fn transfer_entries(&self, now: SystemTime) -> Vec<ReportedSignal> {
         let shared = self.known.iter().filter(|(_, known)| known.is_shared());
         let mut newest: Vec<(&EndpointId, &Known)> = shared.collect();
         newest.sort_by_key(|(endpoint, known)| (std::cmp::Reverse(known.seen), *endpoint));
-        newest.truncate(MOST_HANDED_ON);
-        newest.into_iter().map(|(endpoint, known)| as_told(endpoint, known, now)).collect()
+        newest.truncate(MAX_TRANSFERRED);
+        newest.into_iter().map(|(endpoint, known)| to_report(endpoint, known, now)).collect()
     }
 
     /// Notes which endpoints are listed, and forgets those that are gone for long, and what no longer holds.
-    pub fn keep<'a>(&mut self, listed: impl Iterator<Item = &'a ListedEndpoint>, now: SystemTime) {
+    pub fn retain_listed<'a>(&mut self, listed: impl Iterator<Item = &'a ListedEndpoint>, now: SystemTime) {
         if self.known.is_empty() {
             return;
         }
@@ -277,20 +277,20 @@
             if known.rest_until.is_some_and(|until| until <= now) {
                 known.rest_until = None;
             }
-            if known.limit.is_some_and(|limit| limit.per_s.is_none() && limit.said + KEPT <= now) {
+            if known.limit.is_some_and(|limit| limit.per_s.is_none() && limit.said + RETENTION <= now) {
                 known.limit = None;
             }
-            (known.is_shared() || known.rest_until.is_some()) && now < known.seen + KEPT
+            (known.is_shared() || known.rest_until.is_some()) && now < known.seen + RETENTION
         });
     }
 }
 
-fn as_told(endpoint: &str, known: &Known, now: SystemTime) -> ToldSignal {
+fn to_report(endpoint: &str, known: &Known, now: SystemTime) -> ReportedSignal {
     let age = |at: SystemTime| now.duration_since(at).unwrap_or_default();
-    ToldSignal {
+    ReportedSignal {
         endpoint: endpoint.to_owned(),
         start: known.start,
-        limit: known.limit.map(|Limit { per_s, said, turn }| ToldLimit { per_s, age: age(said), turn }),
-        leaving_for: known.leaving_since.map(age),
+        limit: known.limit.map(|Limit { per_s, said, round }| ReportedLimit { per_s, age: age(said), round }),
+        shutting_down_for: known.leaving_since.map(age),
     }
 }
--- a/havengrade_core/src/published/withdrawal.rs
+++ b/havengrade_core/src/published/withdrawal_policy.rs
@@ -7,7 +7,7 @@
 /// What the operators chose for keys that may have been withdrawn without this VM knowing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Withdrawal {
+pub enum WithdrawalPolicy {
     /// A withdrawn key is used by no VM once a bound has passed. A VM whose configuration is older than the
     /// bound refuses requests with keys, also those whose keys still hold.
     #[default]
@@ -20,7 +20,7 @@
 /// Time that a request may take from the check of its key to its endpoint.
 const KEY_MARGIN: Duration = Duration::from_millis(400);
 
-impl Withdrawal {
+impl WithdrawalPolicy {
     /// Whether a request with a known key may be sent to an endpoint.
     ///
     /// `confirmed` is the latest time at which nothing newer than the configuration in force existed. The
@@ -28,15 +28,15 @@
     ///
     /// ```
     /// use std::time::{Duration, SystemTime};
-    /// use havengrade_core::published::withdrawal::Withdrawal;
+    /// use havengrade_core::published::withdrawal_policy::WithdrawalPolicy;
     ///
     /// let confirmed = SystemTime::UNIX_EPOCH;
     /// let bound = Duration::from_secs(5);
     /// let late = confirmed + bound;
-    /// assert!(Withdrawal::Bounded.may_use_key(Some(confirmed), bound, confirmed + Duration::from_secs(4)));
-    /// assert!(!Withdrawal::Bounded.may_use_key(Some(confirmed), bound, late));
-    /// assert!(Withdrawal::WhenLearned.may_use_key(Some(confirmed), bound, late));
-    /// assert!(!Withdrawal::WhenLearned.may_use_key(None, bound, confirmed));
+    /// assert!(WithdrawalPolicy::Bounded.may_use_key(Some(confirmed), bound, confirmed + Duration::from_secs(4)));
+    /// assert!(!WithdrawalPolicy::Bounded.may_use_key(Some(confirmed), bound, late));
+    /// assert!(WithdrawalPolicy::WhenLearned.may_use_key(Some(confirmed), bound, late));
+    /// assert!(!WithdrawalPolicy::WhenLearned.may_use_key(None, bound, confirmed));
     /// ```
     pub fn may_use_key(self, confirmed: Option<SystemTime>, bound: Duration, now: SystemTime) -> bool {
         match self {
--- a/havengrade_core/tests/published.rs
+++ b/havengrade_core/tests/published.rs
@@ -10,12 +10,12 @@
 use havengrade_core::{
     endpoint_selection::EndpointState,
     published::{
-        attempt::{Attempts, Promise, RunState},
+        attempt::{Attempts, Guarantee, RunState},
         directory::{Directory, DirectoryEvent, ListedEndpoint, RETURN_GRACE},
         peers::Work,
-        placement::{Candidate, Placement, Prompt, place},
+        placement::{Candidate, PlacementContext, Prompt, place},
         route::{AnswerShape, Publication, PublishedAccount, PublishedRoute, Repeat, RouteTable, RouteTarget},
-        withdrawal::Withdrawal,
+        withdrawal_policy::WithdrawalPolicy,
     },
 };
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -113,20 +113,20 @@
                 if !attempts.may_try_again() {
                     break;
                 }
-                attempts.note(*state);
+                attempts.record(*state);
                 sent += u32::from(*state != RunState::NotSent);
                 may_have_run += u32::from(!state.is_surely_not_run());
             }
             prop_assert!(sent <= max);
             prop_assert!(repeat == Repeat::Allowed || may_have_run <= 1);
-            prop_assert_eq!(attempts.promise() == Promise::NotRun, may_have_run == 0);
+            prop_assert_eq!(attempts.guarantee() == Guarantee::NotRun, may_have_run == 0);
         }
     }
 
     #[test]
     fn a_key_is_never_used_beyond_its_bound(confirmed in 0u64..10_000, now in 0u64..30_000, bound in 1u64..8_000) {
         let bound = Duration::from_millis(bound);
-        if Withdrawal::Bounded.may_use_key(Some(at(confirmed)), bound, at(now)) {
+        if WithdrawalPolicy::Bounded.may_use_key(Some(at(confirmed)), bound, at(now)) {
             prop_assert!(at(now) < at(confirmed) + bound);
         }
     }
@@ -186,14 +186,14 @@
 }
 
 fn candidate(endpoint: &ListedEndpoint, requests: u32, tokens: u32) -> Candidate<'_> {
-    Candidate { endpoint, state: EndpointState::default(), work: Work { requests, tokens }, cached: 0 }
+    Candidate { endpoint, state: EndpointState::default(), work: Work { requests, tokens }, cached_tokens: 0 }
 }
 
 /// A prompt with a shared part, read by a model that is `weight` of the largest one's work.
 fn prompt(shared: u32, own: u32, weight: f64) -> Prompt {
     let weigh = |tokens: u32| (f64::from(tokens) * weight) as u32;
     Prompt {
-        shared_part: Some(format!("model-{weight}/doc")),
+        shared_prefix: Some(format!("model-{weight}/doc")),
         shared_tokens: weigh(shared),
         own_tokens: weigh(own),
         sent_tokens: shared + own,
@@ -201,7 +201,7 @@
 }
 
 fn chosen(candidates: &[Candidate<'_>], prompt: Option<&Prompt>, seed: u64) -> String {
-    let placement = Placement { failure_domain: "d1", tried: &[], sees_all_work: true, prompt, now: at(0) };
+    let placement = PlacementContext { failure_domain: "d1", tried: &[], sees_all_work: true, prompt, now: at(0) };
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     place(candidates, placement, &mut rng).unwrap().endpoint.id.clone()
 }
@@ -246,7 +246,7 @@
     // Parts whose place is in the other failure domain, for both sizes of model.
     for part in 0..12 {
         for (weight, small) in [(0.1, true), (1.0, false)] {
-            let named = Prompt { shared_part: Some(format!("{weight}/{part}")), ..prompt(13_000, 4000, weight) };
+            let named = Prompt { shared_prefix: Some(format!("{weight}/{part}")), ..prompt(13_000, 4000, weight) };
             let homes: BTreeSet<String> = (0..20).map(|seed| chosen(&idle, Some(&named), seed)).collect();
             if small {
                 assert!(homes.iter().all(|id| domain_of(id) == "d1"), "{homes:?}");
@@ -281,7 +281,7 @@
         .iter()
         .map(|e| {
             let queue = if e.id == home { 4000 } else { 0 };
-            Candidate { cached: if e.id == sent.id { 5000 } else { 0 }, ..candidate(e, 0, queue) }
+            Candidate { cached_tokens: if e.id == sent.id { 5000 } else { 0 }, ..candidate(e, 0, queue) }
         })
         .collect();
     assert!((0..20).all(|seed| chosen(&candidates, Some(&prompt), seed) == sent.id));
@@ -313,7 +313,7 @@
     let mut next = |tried: &[&str]| {
         let tried: Vec<String> = tried.iter().map(|id| (*id).to_owned()).collect();
         let placement =
-            Placement { failure_domain: "d1", tried: &tried, sees_all_work: true, prompt: None, now: at(0) };
+            PlacementContext { failure_domain: "d1", tried: &tried, sees_all_work: true, prompt: None, now: at(0) };
         place(&candidates, placement, &mut rng).map(|placed| placed.endpoint.id.clone()).unwrap()
     };
     assert_eq!(next(&["a"]), "c", "all of the domain may be lost, though it has the most room");
@@ -329,7 +329,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let mut got = vec![0; endpoints.len()];
     for _vm in 0..84 {
-        let placement = Placement { failure_domain: "d1", tried: &[], sees_all_work, prompt: None, now: at(0) };
+        let placement = PlacementContext { failure_domain: "d1", tried: &[], sees_all_work, prompt: None, now: at(0) };
         let placed = place(&known, placement, &mut rng).unwrap().endpoint;
         got[endpoints.iter().position(|endpoint| endpoint.id == placed.id).unwrap()] += 1;
     }
--- a/havengrade_core/tests/published_cold.rs
+++ b/havengrade_core/tests/published_cold.rs
@@ -7,17 +7,17 @@
 };
 
 use havengrade_core::published::{
-    allowance::{Allowances, HOLDERS, HolderBasis, is_holder},
     directory::ListedEndpoint,
     peers::Peer,
-    restraint::{Question, Readiness, Restraints},
+    send_budget::{HOLDERS, HolderInputs, SendBudgets, is_holder},
+    send_limits::{Readiness, SendLimits, SendQuery},
 };
 use rand::{RngExt as _, seq::SliceRandom as _};
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng as _};
 
 /// Requests a second that a cold endpoint bears.
 const PER_S: f64 = 8.8;
-const BASIS: HolderBasis = HolderBasis { revision: 1, turn: 0 };
+const HOLDER_INPUTS: HolderInputs = HolderInputs { vms_revision: 1, round: 0 };
 /// What operators allow it to get in a second: half as much again, and five.
 const BOUND: usize = 18;
 /// Time for which an endpoint is cold.
@@ -71,7 +71,7 @@
 
     fn send(&self, id: usize, rng: &mut ChaCha8Rng) -> Got {
         let endpoint = endpoint(id, "d1");
-        let mut states: Vec<Allowances> = vec![Allowances::default(); self.vms.len()];
+        let mut states: Vec<SendBudgets> = vec![SendBudgets::default(); self.vms.len()];
         let holders: Vec<bool> = self.vms.iter().map(|me| self.holds(me, &endpoint, rng)).collect();
         let mut sent = Vec::new();
         let mut order: Vec<usize> = (0..self.vms.len()).collect();
@@ -82,8 +82,9 @@
                     continue;
                 }
                 let now = at(millis);
-                if states[index].ready_in(&endpoint.id, PER_S, BASIS, || holders[index], now).is_zero() {
-                    states[index].take(&endpoint.id);
+                if states[index].time_until_ready(&endpoint.id, PER_S, HOLDER_INPUTS, || holders[index], now).is_zero()
+                {
+                    states[index].spend(&endpoint.id);
                     sent.push(now);
                 }
             }
@@ -178,17 +179,17 @@
 
 #[test]
 fn a_vm_that_has_just_started_saves_up_before_it_sends() {
-    let mut allowances = Allowances::default();
-    let mut may = |millis| allowances.ready_in("e1", PER_S, BASIS, || true, at(millis)).is_zero();
+    let mut budgets = SendBudgets::default();
+    let mut may = |millis| budgets.time_until_ready("e1", PER_S, HOLDER_INPUTS, || true, at(millis)).is_zero();
     assert!(!may(0) && !may(100));
     assert!(may(300));
 }
 
 #[test]
 fn what_an_endpoint_got_while_it_was_warm_does_not_count_when_it_is_cold_again() {
-    let (mut restraints, e1) = (Restraints::default(), endpoint(1, "d1"));
-    let question = |may_be_cold| Question { endpoint: &e1, cold_per_s: PER_S, may_be_cold, vms: Some(1) };
-    assert_ne!(restraints.readiness(question(true), |_| true, at(0)), Readiness::Now);
-    (0..40).for_each(|_| assert!(restraints.take(question(false), |_| true, at(10))));
-    assert_eq!(restraints.readiness(question(true), |_| true, at(1000)), Readiness::Now);
+    let (mut send_limits, e1) = (SendLimits::default(), endpoint(1, "d1"));
+    let query = |may_be_cold| SendQuery { endpoint: &e1, cold_per_s: PER_S, may_be_cold, vms_revision: Some(1) };
+    assert_ne!(send_limits.readiness(query(true), |_| true, at(0)), Readiness::Now);
+    (0..40).for_each(|_| assert!(send_limits.try_reserve(query(false), |_| true, at(10))));
+    assert_eq!(send_limits.readiness(query(true), |_| true, at(1000)), Readiness::Now);
 }
--- a/havengrade_core/tests/published_limit.rs
+++ b/havengrade_core/tests/published_limit.rs
@@ -7,10 +7,10 @@
 };
 
 use havengrade_core::published::{
-    allowance::{HOLDERS, is_holder},
     directory::ListedEndpoint,
     peers::Peer,
-    restraint::{Question, Readiness, Restraints},
+    send_budget::{HOLDERS, is_holder},
+    send_limits::{Readiness, SendLimits, SendQuery},
     signals::Signal,
 };
 use rand::{RngExt as _, seq::IteratorRandom as _};
@@ -74,7 +74,7 @@
     vms: Vec<Peer>,
     /// Whom each VM knows.
     known: Vec<Vec<Peer>>,
-    restraints: Vec<Restraints>,
+    send_limits: Vec<SendLimits>,
     is_alive: Vec<bool>,
     /// Whether VMs are holders in turns, as far as it was worked out.
     holds: HashMap<(usize, u64), bool>,
@@ -91,13 +91,13 @@
             others.cloned().collect()
         });
         let known: Vec<Vec<Peer>> = known.collect();
-        let restraints = vec![Restraints::default(); size];
-        Self { vms, known, restraints, is_alive: vec![true; size], holds: HashMap::new(), trouble, rng }
+        let send_limits = vec![SendLimits::default(); size];
+        Self { vms, known, send_limits, is_alive: vec![true; size], holds: HashMap::new(), trouble, rng }
     }
 
-    fn holds(&self, index: usize, turn: u64) -> bool {
+    fn holds(&self, index: usize, round: u64) -> bool {
         let me = &self.vms[index];
-        is_holder((&me.vm, &me.failure_domain), self.known[index].iter(), &endpoint(), turn)
+        is_holder((&me.vm, &me.failure_domain), self.known[index].iter(), &endpoint(), round)
     }
 
     /// The VM at which a request arises.
@@ -114,12 +114,12 @@
             if !self.is_alive[from] || (millis + from as u64 * 70) % REPORT_MS >= STEP_MS {
                 continue;
             }
-            let told = self.restraints[from].signals.tell(at(millis));
+            let told = self.send_limits[from].signals.next_report(at(millis));
             let far: Vec<usize> = (0..self.vms.len()).sample(&mut self.rng, FAR_LISTENERS);
             for to in 0..self.vms.len() {
                 let hears = to % DOMAINS == from % DOMAINS || far.contains(&to);
                 if to != from && hears && self.rng.random::<f64>() >= self.trouble.lost {
-                    self.restraints[to].signals.hear(told.clone(), at(millis + 2));
+                    self.send_limits[to].signals.merge_reported(told.clone(), at(millis + 2));
                 }
             }
         }
@@ -128,14 +128,14 @@
     /// Sends a request of a VM, if the endpoint takes one from it.
     fn send(&mut self, vm: usize, millis: u64) -> bool {
         let e1 = endpoint();
-        let question = Question { endpoint: &e1, cold_per_s: 0.0, may_be_cold: false, vms: Some(1) };
+        let query = SendQuery { endpoint: &e1, cold_per_s: 0.0, may_be_cold: false, vms_revision: Some(1) };
         let (me, others) = (&self.vms[vm], &self.known[vm]);
         let worked_out = &mut self.holds;
         let holds = |turn| {
             let holds = || is_holder((&me.vm, &me.failure_domain), others.iter(), &e1, turn);
             *worked_out.entry((vm, turn)).or_insert_with(holds)
         };
-        self.restraints[vm].take(question, holds, at(millis))
+        self.send_limits[vm].try_reserve(query, holds, at(millis))
     }
 
     /// Sends requests for `for_ms`, while the endpoint says `per_s` in each answer; gives when it got them.
@@ -149,7 +149,7 @@
                 holders.into_iter().for_each(|index| self.is_alive[index] = false);
             }
             for (_, vm) in answers.extract_if(.., |(due, _)| *due <= millis) {
-                self.restraints[vm].note(&e1, said, true, at(millis));
+                self.send_limits[vm].record_signal(&e1, said, true, at(millis));
             }
             self.report(millis);
             let expected = DEMAND * self.vms.len() as f64 * STEP_MS as f64 / 1000.0;
@@ -233,14 +233,14 @@
 
 #[test]
 fn a_leaving_or_resting_endpoint_is_not_ready_whatever_it_takes() {
-    let (mut restraints, e1) = (Restraints::default(), endpoint());
-    let question = Question { endpoint: &e1, cold_per_s: 0.0, may_be_cold: false, vms: Some(1) };
-    let rest = Signal { rest: Some(Duration::from_secs(3)), ..Signal::default() };
-    assert_eq!(restraints.readiness(question, |_| true, at(0)), Readiness::Now);
-    restraints.note(&e1, rest, false, at(0));
-    assert_eq!(restraints.readiness(question, |_| true, at(1000)), Readiness::In(Duration::from_secs(2)));
-    assert!(!restraints.take(question, |_| true, at(1000)));
-    assert_eq!(restraints.readiness(question, |_| true, at(3000)), Readiness::Now);
-    restraints.note(&e1, Signal { is_leaving: true, ..Signal::default() }, true, at(3100));
-    assert_eq!(restraints.readiness(question, |_| true, at(9000)), Readiness::Never);
+    let (mut send_limits, e1) = (SendLimits::default(), endpoint());
+    let query = SendQuery { endpoint: &e1, cold_per_s: 0.0, may_be_cold: false, vms_revision: Some(1) };
+    let rest = Signal { backoff: Some(Duration::from_secs(3)), ..Signal::default() };
+    assert_eq!(send_limits.readiness(query, |_| true, at(0)), Readiness::Now);
+    send_limits.record_signal(&e1, rest, false, at(0));
+    assert_eq!(send_limits.readiness(query, |_| true, at(1000)), Readiness::After(Duration::from_secs(2)));
+    assert!(!send_limits.try_reserve(query, |_| true, at(1000)));
+    assert_eq!(send_limits.readiness(query, |_| true, at(3000)), Readiness::Now);
+    send_limits.record_signal(&e1, Signal { is_leaving: true, ..Signal::default() }, true, at(3100));
+    assert_eq!(send_limits.readiness(query, |_| true, at(9000)), Readiness::Never);
 }
--- a/havengrade_core/tests/published_older_copy.rs
+++ b/havengrade_core/tests/published_older_copy.rs
@@ -6,7 +6,7 @@
 use havengrade_core::{
     published::{
         directory::{Directory, DirectoryEvent, ListedEndpoint, RETURN_GRACE},
-        emptied::{DomainEvent, EmptiedDomains},
+        emptied_domains::{DomainEvent, EmptiedDomains},
         rollout::{RolloutOutcome, RolloutStatus, Rollouts},
     },
     quarantine::{KeptHold, Quarantine},
@@ -75,15 +75,15 @@
 #[test]
 fn an_order_that_is_missing_in_an_older_copy_stands_until_all_is_written_again() {
     let mut domains = EmptiedDomains::default();
-    domains.take(DomainEvent::Emptied("d1".into()), at(0));
-    domains.take(DomainEvent::All { emptied: vec!["d2".into()], is_sure: false }, at(100));
+    domains.apply(DomainEvent::Emptied("d1".into()), at(0));
+    domains.apply(DomainEvent::All { emptied: vec!["d2".into()], is_sure: false }, at(100));
     assert!(domains.is_emptied("d1") && domains.is_emptied("d2"));
     assert_eq!(
-        domains.told(),
+        domains.snapshot(),
         DomainEvent::All { emptied: vec!["d1".into(), "d2".into()], is_sure: false },
         "who is told of it keeps to what it knows as well"
     );
-    let (_, refilled) = domains.take(DomainEvent::All { emptied: vec!["d2".into()], is_sure: true }, at(3000));
+    let (_, refilled) = domains.apply(DomainEvent::All { emptied: vec!["d2".into()], is_sure: true }, at(3000));
     assert_eq!(refilled, ["d1"]);
 }
 
--- a/havengrade_core/tests/published_rollout.rs
+++ b/havengrade_core/tests/published_rollout.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, SystemTime};
 
 use havengrade_core::published::{
-    come_back::{Obstacle, after},
+    retry_after::{RetryReason, retry_delay},
     rollout::{
         Allowed, Failure, RolloutBounds, RolloutOrder, RolloutOutcome, RolloutStatus, Rollouts, RouteEvidence, Sample,
         Seen, TimeNote, TimeOf,
@@ -359,7 +359,7 @@
 fn a_caller_is_told_to_come_back_when_its_session_has_surely_ended() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let left = Duration::from_secs(2);
-    assert!(after(Obstacle::Session { left }, &mut rng) >= left + Duration::from_millis(50));
+    assert!(retry_delay(RetryReason::SessionVersionGone { left }, &mut rng) >= left + Duration::from_millis(50));
 }
 
 /// Seen: a caller who came back when his session had ended was refused once more. Cause: the end of the request that had been refused counted as the end of one that was served.
--- a/havengrade_core/tests/published_signals.rs
+++ b/havengrade_core/tests/published_signals.rs
@@ -5,12 +5,12 @@
 
 use havengrade_core::published::{
     directory::{Directory, DirectoryEvent, EndpointStart, ListedEndpoint},
-    signals::{CurrentLimit, Signal, SignalChange, Signals},
+    signals::{CurrentLimit, Signal, SignalChange, SignalTable},
 };
 
-const LIMITED: Signal = Signal { limit_per_s: Some(1.5), is_leaving: false, rest: None };
-const LEAVING: Signal = Signal { limit_per_s: None, is_leaving: true, rest: None };
-const NOTHING: Signal = Signal { limit_per_s: None, is_leaving: false, rest: None };
+const LIMITED: Signal = Signal { limit_per_s: Some(1.5), is_leaving: false, backoff: None };
+const LEAVING: Signal = Signal { limit_per_s: None, is_leaving: true, backoff: None };
+const NOTHING: Signal = Signal { limit_per_s: None, is_leaving: false, backoff: None };
 
 fn at(millis: u64) -> SystemTime {
     SystemTime::UNIX_EPOCH + Duration::from_millis(1_800_000_000_000 + millis)
@@ -32,84 +32,87 @@
 
 #[test]
 fn a_limit_holds_until_a_whole_answer_no_longer_says_it() {
-    let (mut signals, e1) = (Signals::default(), endpoint(None));
-    assert_eq!(signals.note(&e1, LIMITED, true, 0, at(0)), [SignalChange::Limited(1.5)]);
-    assert_eq!(signals.note(&e1, LIMITED, true, 0, at(400)), []);
-    let limit = CurrentLimit { per_s: 1.5, age: Duration::from_millis(500), turn: 0 };
+    let (mut signals, e1) = (SignalTable::default(), endpoint(None));
+    assert_eq!(signals.record_answer(&e1, LIMITED, true, 0, at(0)), [SignalChange::Limited(1.5)]);
+    assert_eq!(signals.record_answer(&e1, LIMITED, true, 0, at(400)), []);
+    let limit = CurrentLimit { per_s: 1.5, age: Duration::from_millis(500), round: 0 };
     assert_eq!(signals.limit(&e1, at(900)), Some(limit));
     assert_eq!(
-        signals.note(&e1, NOTHING, false, 0, at(1000)),
+        signals.record_answer(&e1, NOTHING, false, 0, at(1000)),
         [],
         "a spoiled answer or a rejection says nothing of it"
     );
     assert!(signals.limit(&e1, at(1000)).is_some());
-    assert_eq!(signals.note(&e1, NOTHING, true, 0, at(1100)), [SignalChange::Unlimited]);
+    assert_eq!(signals.record_answer(&e1, NOTHING, true, 0, at(1100)), [SignalChange::Unlimited]);
     assert_eq!(signals.limit(&e1, at(1100)), None);
 }
 
 #[test]
 fn the_latest_word_on_a_limit_wins_whoever_tells_it() {
-    let (mut here, mut there, e1) = (Signals::default(), Signals::default(), endpoint(None));
-    here.note(&e1, LIMITED, true, 0, at(0));
-    let old = here.tell(at(300));
-    there.note(&e1, LIMITED, true, 0, at(0));
-    there.note(&e1, NOTHING, true, 0, at(200));
-    assert_eq!(there.hear(old, at(310)), [], "it was said at 0, and taken back since");
+    let (mut here, mut there, e1) = (SignalTable::default(), SignalTable::default(), endpoint(None));
+    here.record_answer(&e1, LIMITED, true, 0, at(0));
+    let old = here.next_report(at(300));
+    there.record_answer(&e1, LIMITED, true, 0, at(0));
+    there.record_answer(&e1, NOTHING, true, 0, at(200));
+    assert_eq!(there.merge_reported(old, at(310)), [], "it was said at 0, and taken back since");
     assert_eq!(there.limit(&e1, at(310)), None);
-    let news = there.tell(at(400));
-    assert_eq!(here.hear(news, at(410)), [("e1".to_owned(), SignalChange::Unlimited)]);
+    let news = there.next_report(at(400));
+    assert_eq!(here.merge_reported(news, at(410)), [("e1".to_owned(), SignalChange::Unlimited)]);
 }
 
 #[test]
 fn what_changed_is_told_three_times_and_then_in_turn() {
-    let (mut signals, e1) = (Signals::default(), endpoint(None));
-    assert!(!signals.has_news());
-    signals.note(&e1, LIMITED, true, 0, at(0));
+    let (mut signals, e1) = (SignalTable::default(), endpoint(None));
+    assert!(!signals.has_unreported());
+    signals.record_answer(&e1, LIMITED, true, 0, at(0));
     for _ in 0..3 {
-        assert!(signals.has_news());
-        assert_eq!(signals.tell(at(100)).len(), 1);
+        assert!(signals.has_unreported());
+        assert_eq!(signals.next_report(at(100)).len(), 1);
     }
-    assert!(!signals.has_news());
-    assert_eq!(signals.tell(at(500)).first().unwrap().limit.unwrap().age, Duration::from_millis(500));
+    assert!(!signals.has_unreported());
+    assert_eq!(signals.next_report(at(500)).first().unwrap().limit.unwrap().age, Duration::from_millis(500));
 }
 
 #[test]
 fn rest_is_this_vms_own_and_ends_with_its_time() {
-    let (mut signals, e1) = (Signals::default(), endpoint(None));
-    let rest = Signal { rest: Some(Duration::from_secs(3)), ..NOTHING };
-    assert_eq!(signals.note(&e1, rest, false, 0, at(0)), [SignalChange::Resting(Duration::from_secs(3))]);
-    let shorter = Signal { rest: Some(Duration::from_secs(1)), ..NOTHING };
-    signals.note(&e1, shorter, false, 0, at(500));
-    assert_eq!(signals.rest_left(&e1, at(2000)), Some(Duration::from_secs(1)), "the later of two ends holds");
-    assert_eq!(signals.rest_left(&e1, at(3000)), None);
-    assert!(!signals.has_news() && signals.hand_on(at(600)).is_empty());
+    let (mut signals, e1) = (SignalTable::default(), endpoint(None));
+    let rest = Signal { backoff: Some(Duration::from_secs(3)), ..NOTHING };
+    assert_eq!(
+        signals.record_answer(&e1, rest, false, 0, at(0)),
+        [SignalChange::BackoffRequested(Duration::from_secs(3))]
+    );
+    let shorter = Signal { backoff: Some(Duration::from_secs(1)), ..NOTHING };
+    signals.record_answer(&e1, shorter, false, 0, at(500));
+    assert_eq!(signals.backoff_left(&e1, at(2000)), Some(Duration::from_secs(1)), "the later of two ends holds");
+    assert_eq!(signals.backoff_left(&e1, at(3000)), None);
+    assert!(!signals.has_unreported() && signals.transfer_entries(at(600)).is_empty());
 }
 
 #[test]
 fn a_leaving_endpoint_leaves_for_all_vms_until_it_has_started_again() {
-    let (mut here, mut there, e1) = (Signals::default(), Signals::default(), endpoint(Some(5)));
-    here.note(&e1, LEAVING, true, 0, at(0));
-    here.note(&e1, NOTHING, true, 0, at(50));
+    let (mut here, mut there, e1) = (SignalTable::default(), SignalTable::default(), endpoint(Some(5)));
+    here.record_answer(&e1, LEAVING, true, 0, at(0));
+    here.record_answer(&e1, NOTHING, true, 0, at(50));
     assert!(here.is_leaving(&e1), "an answer that was under way says nothing else");
-    there.hear(here.hand_on(at(100)), at(101));
+    there.merge_reported(here.transfer_entries(at(100)), at(101));
     assert!(there.is_leaving(&e1));
     let again = endpoint(Some(9));
-    there.keep([&again].into_iter(), at(2000));
+    there.retain_listed([&again].into_iter(), at(2000));
     assert!(!there.is_leaving(&again));
-    there.hear(here.hand_on(at(2100)), at(2101));
+    there.merge_reported(here.transfer_entries(at(2100)), at(2101));
     assert!(!there.is_leaving(&again), "that was said by the earlier start");
-    here.note(&again, LIMITED, true, 0, at(2200));
+    here.record_answer(&again, LIMITED, true, 0, at(2200));
     assert!(!here.is_leaving(&again) && here.limit(&again, at(2200)).is_some());
 }
 
 #[test]
 fn what_gone_endpoints_said_is_forgotten_in_time() {
-    let (mut signals, e1) = (Signals::default(), endpoint(None));
-    signals.note(&e1, LEAVING, true, 0, at(0));
-    signals.keep([&e1].into_iter(), at(100_000));
-    signals.keep(std::iter::empty(), at(219_000));
+    let (mut signals, e1) = (SignalTable::default(), endpoint(None));
+    signals.record_answer(&e1, LEAVING, true, 0, at(0));
+    signals.retain_listed([&e1].into_iter(), at(100_000));
+    signals.retain_listed(std::iter::empty(), at(219_000));
     assert!(signals.is_leaving(&e1), "an older list may show it again");
-    signals.keep(std::iter::empty(), at(220_000));
+    signals.retain_listed(std::iter::empty(), at(220_000));
     assert!(signals.is_empty());
 }
 
@@ -129,8 +132,8 @@
     let leaving = ListedEndpoint { is_leaving: true, ..endpoint(None) };
     let (_, has_changed) = directory.apply(vec![DirectoryEvent::Seen(leaving)], at(100), at(100));
     assert!(has_changed && directory.usable().count() == 0);
-    let mut signals = Signals::default();
-    signals.note(&endpoint(None), LEAVING, true, 0, at(0));
-    signals.keep([&endpoint(Some(9))].into_iter(), at(100));
+    let mut signals = SignalTable::default();
+    signals.record_answer(&endpoint(None), LEAVING, true, 0, at(0));
+    signals.retain_listed([&endpoint(Some(9))].into_iter(), at(100));
     assert!(signals.is_leaving(&endpoint(Some(9))));
 }
--- a/havengrade_core/tests/published_subset.rs
+++ b/havengrade_core/tests/published_subset.rs
@@ -3,7 +3,7 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use havengrade_core::published::{directory::ListedEndpoint, subset::Subset};
+use havengrade_core::published::{directory::ListedEndpoint, endpoint_subset::EndpointSubset};
 
 fn endpoints(count: usize, version: &str) -> Vec<ListedEndpoint> {
     let endpoint = |index: usize| ListedEndpoint {
@@ -20,7 +20,7 @@
     (0..count).map(endpoint).collect()
 }
 
-fn used(subset: &Subset, endpoints: &[ListedEndpoint]) -> BTreeSet<String> {
+fn used(subset: &EndpointSubset, endpoints: &[ListedEndpoint]) -> BTreeSet<String> {
     endpoints.iter().filter(|endpoint| subset.includes(endpoint)).map(|endpoint| endpoint.id.clone()).collect()
 }
 
@@ -28,7 +28,7 @@
 fn of_few_endpoints_all_are_used_however_many_vms_there_are() {
     for (count, vms) in [(4, 9), (140, 295), (1000, 1), (1000, 2000)] {
         let endpoints = endpoints(count, "v1");
-        let subset = Subset::default().next(endpoints.iter(), vms);
+        let subset = EndpointSubset::default().resized(endpoints.iter(), vms);
         assert!(subset.is_all() && used(&subset, &endpoints).len() == count);
     }
 }
@@ -37,7 +37,7 @@
 fn twice_the_fleet_uses_twice_the_endpoints_and_each_vm_has_slots_for_what_it_can_serve() {
     for (count, vms) in [(9_640, 985), (19_280, 1_970), (12_000, 390)] {
         let endpoints = endpoints(count, "v1");
-        let subset = Subset::default().next(endpoints.iter(), vms);
+        let subset = EndpointSubset::default().resized(endpoints.iter(), vms);
         let used = used(&subset, &endpoints).len();
         assert!(used * 24 >= vms * 14, "{used} of {count} endpoints for {vms} VMs");
         assert!(used <= 2 * (vms * 16 / 24).max(512) + 100, "{used} of {count} endpoints for {vms} VMs");
@@ -50,7 +50,7 @@
 #[test]
 fn a_version_with_few_endpoints_is_used_whole_beside_one_with_many() {
     let (old, new) = (endpoints(9_640, "v1"), endpoints(90, "v2"));
-    let subset = Subset::default().next(old.iter().chain(&new), 985);
+    let subset = EndpointSubset::default().resized(old.iter().chain(&new), 985);
     assert_eq!(used(&subset, &new).len(), 90);
     assert!(used(&subset, &old).len() < 2_000);
 }
@@ -58,11 +58,11 @@
 #[test]
 fn vms_and_endpoints_that_come_and_go_change_nothing_until_there_are_many() {
     let endpoints = endpoints(10_000, "v1");
-    let subset = Subset::default().next(endpoints.iter(), 985);
+    let subset = EndpointSubset::default().resized(endpoints.iter(), 985);
     for (count, vms) in [(9_000, 985), (10_000, 900), (9_500, 1_100)] {
-        assert_eq!(subset.next(endpoints[..count].iter(), vms), subset, "{count} endpoints, {vms} VMs");
+        assert_eq!(subset.resized(endpoints[..count].iter(), vms), subset, "{count} endpoints, {vms} VMs");
     }
-    let fewer = subset.next(endpoints[..3_000].iter(), 985);
+    let fewer = subset.resized(endpoints[..3_000].iter(), 985);
     assert_ne!(fewer, subset);
     assert!(used(&subset, &endpoints[..3_000]).is_subset(&used(&fewer, &endpoints[..3_000])));
 }
--- a/havengrade_dev/tests/published.rs
+++ b/havengrade_dev/tests/published.rs
@@ -9,7 +9,7 @@
     directory::{DirectoryEvent, ListedEndpoint},
     rollout::{RolloutOrder, RolloutOutcome, RolloutStatus},
     route::PublishedService,
-    withdrawal::Withdrawal,
+    withdrawal_policy::WithdrawalPolicy,
 };
 use havengrade_dev::{
     fabric::Fabric as _,
@@ -360,7 +360,7 @@
 async fn known_keys_are_served_while_the_store_is_away_where_operators_chose_so() {
     let bench = Bench::start(vec![vec![]]).await;
     let mut settings = Settings::default();
-    settings.published.withdrawal = Withdrawal::WhenLearned;
+    settings.published.withdrawal = WithdrawalPolicy::WhenLearned;
     bench.router.reload(&settings);
     bench.store.set_away(true);
     sleep(Duration::from_secs(20)).await;
--- a/havengrade_router/src/endpoints.rs
+++ b/havengrade_router/src/endpoints.rs
@@ -13,7 +13,7 @@
 use havengrade_core::{
     endpoint_selection::{EndpointState, EndpointStates},
     ids::EndpointId,
-    published::signals::MOST_REST,
+    published::signals::MAX_BACKOFF,
 };
 
 /// Time for which an endpoint is passed over that turned a request away: a queue gets shorter by some requests in it.
@@ -146,7 +146,7 @@
 
     /// Notes that the endpoint wants nothing from this VM for a time.
     pub fn rest(&self, rest: Duration, now: SystemTime) {
-        self.rest_until.fetch_max(to_millis(now + rest.min(MOST_REST)), Ordering::Relaxed);
+        self.rest_until.fetch_max(to_millis(now + rest.min(MAX_BACKOFF)), Ordering::Relaxed);
     }
 
     /// Notes that the endpoint turned a request away although it has room; it is passed over for a time, twice as long with each further one.
--- a/havengrade_router/src/published/choose.rs
+++ b/havengrade_router/src/published/choose.rs
@@ -7,10 +7,10 @@
     published::{
         directory::ListedEndpoint,
         peers::Work,
-        placement::{Candidate, Placement, Prompt, place},
-        restraint::Readiness,
+        placement::{Candidate, PlacementContext, Prompt, place},
         rollout::Allowed,
-        sent_parts::Prefix,
+        send_limits::Readiness,
+        sent_prefixes::Prefix,
         times::Load,
     },
 };
@@ -58,9 +58,9 @@
     let domain = &cx.shared.settings.vm.failure_domain;
     let sees_all_work = !cx.shared.peers().is_large();
     let placement =
-        Placement { failure_domain: domain, tried: &job.tried, sees_all_work, prompt: prompt.as_ref(), now };
+        PlacementContext { failure_domain: domain, tried: &job.tried, sees_all_work, prompt: prompt.as_ref(), now };
     let placed = place(&candidates, placement, &mut *cx.shared.rng())?;
-    cx.shared.sent_parts().note(&prefixes, &placed.endpoint.id, now);
+    cx.shared.sent_prefixes().record(&prefixes, &placed.endpoint.id, now);
     let endpoint = placed.endpoint.clone();
     let load = Load::of(work_at(cx, &endpoint).requests, endpoint.slots);
     Some(Chosen { endpoint, tokens: placed.tokens, load })
@@ -125,7 +125,7 @@
     if !versioned.is_empty() {
         return match Restrained::new(cx, job).first_ready(&versioned, now) {
             Readiness::Now => Refusal::NoEndpoint,
-            Readiness::In(back_after) => Refusal::EndpointsAtLimit { back_after },
+            Readiness::After(back_after) => Refusal::EndpointsAtLimit { back_after },
             Readiness::Never => Refusal::EndpointsLeave,
         };
     }
@@ -159,15 +159,15 @@
     prefixes: &[Prefix],
     now: SystemTime,
 ) -> Vec<Candidate<'a>> {
-    let sent = cx.shared.sent_parts();
-    let cached = sent.cached(prefixes, now);
+    let sent = cx.shared.sent_prefixes();
+    let cached = sent.cached_tokens(prefixes, now);
     let cached_at = |endpoint: &ListedEndpoint| cached.get(endpoint.id.as_str()).copied().unwrap_or_default();
-    endpoints.map(|endpoint| Candidate { cached: cached_at(endpoint), ..candidate(cx, endpoint) }).collect()
+    endpoints.map(|endpoint| Candidate { cached_tokens: cached_at(endpoint), ..candidate(cx, endpoint) }).collect()
 }
 
 fn candidate<'a>(cx: &PublishedContext, endpoint: &'a ListedEndpoint) -> Candidate<'a> {
     let work = work_at(cx, endpoint);
-    Candidate { endpoint, state: cx.shared.states.state(&endpoint.id), work, cached: 0 }
+    Candidate { endpoint, state: cx.shared.states.state(&endpoint.id), work, cached_tokens: 0 }
 }
 
 /// The work in progress at an endpoint, of this VM and of the others as far as they told.
@@ -182,7 +182,7 @@
 fn prompt(cx: &PublishedContext, job: &Job) -> Option<(Prompt, Vec<Prefix>)> {
     let total = job.facts.tokens?.prompt;
     let routes = cx.shared.routes.load();
-    let weight = routes.service(&job.service).map_or(1.0, |service| service.work_of(job.model.as_deref()));
+    let weight = routes.service(&job.service).map_or(1.0, |service| service.relative_work(job.model.as_deref()));
     let weigh = |tokens: u32| (f64::from(tokens) * weight) as u32;
     let shared = job.facts.prompt_parts.split_last().map_or(&[][..], |(_, shared)| shared);
     // What is cached is cached for one model.
@@ -194,7 +194,7 @@
     };
     let prefixes: Vec<Prefix> = shared.iter().map(prefix).collect();
     let prompt = Prompt {
-        shared_part: prefixes.last().map(|prefix| prefix.key.clone()),
+        shared_prefix: prefixes.last().map(|prefix| prefix.key.clone()),
         shared_tokens: weigh(shared_tokens),
         own_tokens: weigh(total - shared_tokens),
         sent_tokens: total,
--- a/havengrade_router/src/published/configured.rs
+++ b/havengrade_router/src/published/configured.rs
@@ -13,8 +13,8 @@
     mark::RequestMark,
     membership::ListedVm,
     published::{
-        configured::{endpoints, publication},
         directory::DirectoryEvent,
+        from_config::{endpoints, publication},
         peers::Peer,
         rollout::RolloutStatus,
         route::CallerLimits,
--- a/havengrade_router/src/published/context.rs
+++ b/havengrade_router/src/published/context.rs
@@ -14,13 +14,13 @@
     ids::{Incarnation, ServiceId},
     published::{
         directory::ListedEndpoint,
-        emptied::EmptiedDomains,
+        emptied_domains::EmptiedDomains,
         handing::Handing,
         peers::{Peer, Peers},
-        restraint::Restraints,
         rollout::{RolloutBounds, Rollouts},
         route::RouteTable,
-        sent_parts::SentParts,
+        send_limits::SendLimits,
+        sent_prefixes::SentPrefixes,
         start::ReadingNews,
     },
     quarantine::Quarantine,
@@ -106,8 +106,8 @@
     quarantine_changed: Notify,
     /// When an endpoint last answered this VM, in milliseconds since the Unix epoch; 0 for never.
     answered: AtomicU64,
-    sent_parts: Mutex<SentParts>,
-    restraints: Mutex<Restraints>,
+    sent_prefixes: Mutex<SentPrefixes>,
+    send_limits: Mutex<SendLimits>,
     rng: Mutex<ChaCha8Rng>,
 }
 
@@ -152,8 +152,8 @@
             quarantine: Mutex::default(),
             quarantine_changed: Notify::new(),
             answered: AtomicU64::new(0),
-            sent_parts: Mutex::default(),
-            restraints: Mutex::default(),
+            sent_prefixes: Mutex::default(),
+            send_limits: Mutex::default(),
             rng: Mutex::new(rng),
             tuning: ArcSwap::from_pointee(settings.published.clone()),
             settings,
@@ -344,13 +344,13 @@
     }
 
     /// The parts of prompts that were sent to endpoints, locked for a moment.
-    pub fn sent_parts(&self) -> MutexGuard<'_, SentParts> {
-        lock(&self.sent_parts)
+    pub fn sent_prefixes(&self) -> MutexGuard<'_, SentPrefixes> {
+        lock(&self.sent_prefixes)
     }
 
     /// What holds back requests to endpoints, locked for a moment.
-    pub fn restraints(&self) -> MutexGuard<'_, Restraints> {
-        lock(&self.restraints)
+    pub fn send_limits(&self) -> MutexGuard<'_, SendLimits> {
+        lock(&self.send_limits)
     }
 
     /// The random numbers, locked for a moment.
--- a/havengrade_router/src/published/dialect.rs
+++ b/havengrade_router/src/published/dialect.rs
@@ -93,7 +93,7 @@
             signal: Signal {
                 limit_per_s: decimal(headers, &LIMIT_PER_S),
                 is_leaving: headers.contains_key(&LEAVING),
-                rest: rest(status, decimal(headers, &RETRY_AFTER)),
+                backoff: rest(status, decimal(headers, &RETRY_AFTER)),
             },
             confidence: number(headers, &CONFIDENCE).and_then(|value| u8::try_from(value).ok()),
             keep_alive: None,
--- a/havengrade_router/src/published/events.rs
+++ b/havengrade_router/src/published/events.rs
@@ -219,7 +219,7 @@
 
 impl Relay {
     async fn run(mut self, mut job: Job, mut source: Source, first: Option<Piece>) {
-        job.attempts.note(RunState::Ran);
+        job.attempts.record(RunState::Ran);
         let mut next = first;
         loop {
             let ended = self.relay(&job, &mut source, next.take()).await;
@@ -320,19 +320,19 @@
                 Ok(opened) if opened.head.status.is_success() => {
                     note_session(&self.cx, job, &opened.made.endpoint.version, now);
                     self.resumed += 1;
-                    job.attempts.note(RunState::Ran);
+                    job.attempts.record(RunState::Ran);
                     return Some(self.source(job, opened));
                 },
                 Ok(opened) => {
                     note_end(&self.cx, job, &opened.made.endpoint, failure_of(opened.head.status));
                     fail(&self.cx, &opened.made.endpoint);
-                    job.attempts.note(RunState::Ran);
+                    job.attempts.record(RunState::Ran);
                 },
                 Err(state) => {
                     if state == RunState::NotSent {
                         self.cx.shared.retries.refund(&job.service);
                     }
-                    job.attempts.note(state);
+                    job.attempts.record(state);
                 },
             }
         }
--- a/havengrade_router/src/published/forward.rs
+++ b/havengrade_router/src/published/forward.rs
@@ -4,7 +4,7 @@
 
 use havengrade_core::{
     ids::ModelId,
-    published::{attempt::RunState, route::AnswerShape, size},
+    published::{attempt::RunState, model_choice, route::AnswerShape},
 };
 use http_body_util::{BodyExt as _, Limited};
 use hyper::{
@@ -124,12 +124,12 @@
         match tried {
             Tried::Answered { answer, is_failure: false } => return Ok(answer),
             Tried::Answered { answer, is_failure: true } => {
-                job.attempts.note(RunState::Ran);
+                job.attempts.record(RunState::Ran);
                 spare = Some(answer);
             },
-            Tried::Failed(state) => job.attempts.note(state),
+            Tried::Failed(state) => job.attempts.record(state),
             Tried::Doubted { stronger } => {
-                job.attempts.note(RunState::Ran);
+                job.attempts.record(RunState::Ran);
                 job.model = Some(stronger);
                 // Nothing is wrong with the endpoint that ran the smaller model.
                 job.tried.pop();
@@ -204,9 +204,9 @@
 
 /// The stronger model to ask instead, where the one that answers doubts itself and the request may run again.
 fn doubted(cx: &PublishedContext, job: &Job, opened: &Opened) -> Option<ModelId> {
-    let stronger = size::stronger(&job.route.models, job.model.as_deref()?, opened.confidence)?;
+    let stronger = model_choice::escalation_model(&job.route.models, job.model.as_deref()?, opened.confidence)?;
     let mut after = job.attempts.clone();
-    after.note(RunState::Ran);
+    after.record(RunState::Ran);
     let now = cx.shared.clock.now();
     if !after.may_try_again() || job.is_trial || !cx.shared.retries.try_acquire_spare(&job.service) {
         return None;
--- a/havengrade_router/src/published/hand_on.rs
+++ b/havengrade_router/src/published/hand_on.rs
@@ -205,7 +205,7 @@
             answer.head.reading_age_ms = cx.shared.store_read_at(now).map(|at| age_ms(at, now));
         }
         answer.head.quarantine = cx.shared.quarantine().hand_on(now).map(encode_quarantine);
-        answer.head.signals = Some(encode_signals(cx.shared.restraints().signals.hand_on(now)));
+        answer.head.signals = Some(encode_signals(cx.shared.send_limits().signals.transfer_entries(now)));
         if question.wants_vms && can_hand_on(cx, question) {
             answer.head.vms = Some(answer.part(0, Duration::ZERO, vms_text(cx)?));
         }
--- a/havengrade_router/src/published/job.rs
+++ b/havengrade_router/src/published/job.rs
@@ -10,9 +10,9 @@
     ids::{AccountId, EndpointId, ServiceId},
     mark::{RequestMark, mark},
     published::{
-        attempt::{Attempts, Promise, RunState},
+        attempt::{Attempts, Guarantee, RunState},
+        model_choice,
         route::{AnswerShape, PublishedRoute, Repeat, RouteTable},
-        size,
     },
 };
 use http_body_util::{BodyExt as _, Limited};
@@ -94,7 +94,7 @@
     /// Time for which an endpoint may be silent before another one is tried; all that is left where none may be.
     pub(super) fn patience(&self, now: SystemTime) -> Duration {
         let mut after = self.attempts.clone();
-        after.note(RunState::MayHaveRun);
+        after.record(RunState::MayHaveRun);
         let left = self.time_left(now);
         if !after.may_try_again() {
             return left;
@@ -108,9 +108,9 @@
 
     /// The refusal that says no more than is true.
     pub(super) fn refusal(&self, if_not_run: Refusal, if_unknown: Refusal) -> Refusal {
-        match self.attempts.promise() {
-            Promise::NotRun => if_not_run,
-            Promise::None => if_unknown,
+        match self.attempts.guarantee() {
+            Guarantee::NotRun => if_not_run,
+            Guarantee::None => if_unknown,
         }
     }
 }
@@ -149,8 +149,9 @@
         AnswerShape::Events { is_resumable: false } => Repeat::Never,
         AnswerShape::Whole => route.repeat,
     };
-    let may_ask_again = size::may_ask_again(&route, repeat == Repeat::Allowed, facts.last_event.is_some());
-    let model = facts.leaves_model_open.then(|| size::first(&route.models, may_ask_again).cloned()).flatten();
+    let may_ask_again = model_choice::may_escalate(&route, repeat == Repeat::Allowed, facts.last_event.is_some());
+    let model =
+        facts.leaves_model_open.then(|| model_choice::initial_model(&route.models, may_ask_again).cloned()).flatten();
     let (account, own_priority) = account.unzip();
     Ok(Job {
         id,
--- a/havengrade_router/src/published/parts.rs
+++ b/havengrade_router/src/published/parts.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use flate2::{Compression, read::DeflateDecoder, write::DeflateEncoder};
 use havengrade_core::published::{
-    directory::DirectoryEvent, emptied::DomainEvent, peers::Peer, rollout::RolloutOrder, route::Publication,
+    directory::DirectoryEvent, emptied_domains::DomainEvent, peers::Peer, rollout::RolloutOrder, route::Publication,
 };
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
@@ -39,7 +39,7 @@
     let mut written = lock(&cx.shared.written);
     once(&mut written.operators, position, || {
         let orders = cx.shared.rollouts().orders().cloned().collect();
-        let domains = cx.shared.emptied.load().told();
+        let domains = cx.shared.emptied.load().snapshot();
         deflate(&OperatorsPart { publication: cx.shared.routes.load().publication().clone(), orders, domains })
     })
 }
--- a/havengrade_router/src/published/peers.rs
+++ b/havengrade_router/src/published/peers.rs
@@ -177,7 +177,7 @@
         let is_news = sent != work
             || self.cx.shared.rollouts().has_news(self.cx.shared.incarnation, now)
             || self.cx.shared.quarantine().has_news()
-            || self.cx.shared.restraints().signals.has_news();
+            || self.cx.shared.send_limits().signals.has_unreported();
         now >= *at + if is_news { pause } else { REPORT_EVERY }
     }
 
@@ -256,7 +256,7 @@
     let now = cx.shared.clock.now();
     let rollouts = cx.shared.rollouts().news(cx.shared.rollout_bounds(), cx.shared.incarnation, now);
     let quarantine = cx.shared.quarantine().tell(now);
-    let signals = cx.shared.restraints().signals.tell(now);
+    let signals = cx.shared.send_limits().signals.next_report(now);
     Report { work: WorkReport { peer: cx.me(), seq, work: work.to_vec() }, rollouts, quarantine, signals }
 }
 
--- a/havengrade_router/src/published/ports.rs
+++ b/havengrade_router/src/published/ports.rs
@@ -13,7 +13,7 @@
     published::{
         attempt::RunState,
         directory::{DirectoryEvent, SoftwareVersion},
-        emptied::DomainEvent,
+        emptied_domains::DomainEvent,
         peers::Peer,
         rollout::{RolloutOrder, RolloutStatus},
         route::Publication,
--- a/havengrade_router/src/published/refuse.rs
+++ b/havengrade_router/src/published/refuse.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime};
 
 use bytes::Bytes;
-use havengrade_core::published::come_back::{self, Obstacle};
+use havengrade_core::published::retry_after::{self, RetryReason};
 use http_body_util::{BodyExt as _, Full, combinators::UnsyncBoxBody};
 use hyper::{
     Response, StatusCode,
@@ -116,17 +116,17 @@
     }
 
     /// What keeps a request that did not run from being served; none where it may have run or never can.
-    fn obstacle(self, cx: &PublishedContext, now: SystemTime) -> Option<Obstacle> {
+    fn retry_reason(self, cx: &PublishedContext, now: SystemTime) -> Option<RetryReason> {
         match self {
-            Self::Starting => Some(Obstacle::StoreAway { known_for: cx.shared.running_for(now) }),
-            Self::Stale | Self::Stopping => Some(Obstacle::ThisVm),
-            Self::NoEndpoint | Self::NoTimeLeft => Some(Obstacle::FullEndpoints),
-            Self::EndpointsAtLimit { back_after } => Some(Obstacle::EndpointsAtLimit { back_after }),
-            Self::EndpointsLeave => Some(Obstacle::EndpointsLeave),
-            Self::DomainEmptied { known_for } => Some(Obstacle::EmptiedDomains { known_for }),
-            Self::BadVersion => Some(Obstacle::BadVersion),
-            Self::SessionVersionGone { left } => Some(Obstacle::Session { left }),
-            Self::Quarantined { back_after } => Some(Obstacle::Quarantine { back_after }),
+            Self::Starting => Some(RetryReason::StoreUnreachable { known_for: cx.shared.running_for(now) }),
+            Self::Stale | Self::Stopping => Some(RetryReason::VmUnavailable),
+            Self::NoEndpoint | Self::NoTimeLeft => Some(RetryReason::EndpointsFull),
+            Self::EndpointsAtLimit { back_after } => Some(RetryReason::EndpointsAtLimit { retry_after: back_after }),
+            Self::EndpointsLeave => Some(RetryReason::EndpointsShuttingDown),
+            Self::DomainEmptied { known_for } => Some(RetryReason::DomainsEmptied { known_for }),
+            Self::BadVersion => Some(RetryReason::BadVersion),
+            Self::SessionVersionGone { left } => Some(RetryReason::SessionVersionGone { left }),
+            Self::Quarantined { back_after } => Some(RetryReason::Quarantine { retry_after: back_after }),
             _ => None,
         }
     }
@@ -143,8 +143,8 @@
         *answer.status_mut() = self.status();
         let headers = answer.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        if let Some(obstacle) = self.obstacle(cx, now) {
-            let after = come_back::after(obstacle, &mut *cx.shared.rng());
+        if let Some(reason) = self.retry_reason(cx, now) {
+            let after = retry_after::retry_delay(reason, &mut *cx.shared.rng());
             let seconds = format!("{:.2}", after.as_secs_f64());
             if let Ok(value) = HeaderValue::from_str(&seconds) {
                 headers.insert(RETRY_AFTER, value);
--- a/havengrade_router/src/published/restrained.rs
+++ b/havengrade_router/src/published/restrained.rs
@@ -3,10 +3,10 @@
 use std::time::SystemTime;
 
 use havengrade_core::published::{
-    allowance::is_holder,
     directory::ListedEndpoint,
     peers::Peers,
-    restraint::{Question, Readiness},
+    send_budget::is_holder,
+    send_limits::{Readiness, SendQuery},
 };
 
 use crate::published::{context::PublishedContext, job::Job};
@@ -25,14 +25,14 @@
 
     /// The endpoints that take another request from this VM now.
     pub(super) fn ready<'b>(&self, endpoints: Vec<&'b ListedEndpoint>, now: SystemTime) -> Vec<&'b ListedEndpoint> {
-        if self.cx.shared.restraints().is_empty(self.cold_per_s) {
+        if self.cx.shared.send_limits().is_unlimited(self.cold_per_s) {
             return endpoints;
         }
         let peers = self.cx.shared.peers();
-        let mut restraints = self.cx.shared.restraints();
+        let mut send_limits = self.cx.shared.send_limits();
         let mut is_ready = |endpoint: &&ListedEndpoint| {
-            let question = self.question(&peers, endpoint, now);
-            restraints.readiness(question, |turn| self.holds(&peers, endpoint, turn), now) == Readiness::Now
+            let query = self.query(&peers, endpoint, now);
+            send_limits.readiness(query, |round| self.holds(&peers, endpoint, round), now) == Readiness::Now
         };
         endpoints.into_iter().filter(&mut is_ready).collect()
     }
@@ -40,10 +40,10 @@
     /// When the first of the endpoints takes another request from this VM.
     pub(super) fn first_ready(&self, endpoints: &[&ListedEndpoint], now: SystemTime) -> Readiness {
         let peers = self.cx.shared.peers();
-        let mut restraints = self.cx.shared.restraints();
+        let mut send_limits = self.cx.shared.send_limits();
         let readiness = |endpoint: &&ListedEndpoint| {
-            let question = self.question(&peers, endpoint, now);
-            restraints.readiness(question, |turn| self.holds(&peers, endpoint, turn), now)
+            let query = self.query(&peers, endpoint, now);
+            send_limits.readiness(query, |round| self.holds(&peers, endpoint, round), now)
         };
         endpoints.iter().map(readiness).min().unwrap_or(Readiness::Never)
     }
@@ -51,22 +51,22 @@
     /// Takes the place of a request that is about to be sent to an endpoint; tells whether there was one.
     pub(super) fn take(&self, endpoint: &ListedEndpoint, now: SystemTime) -> bool {
         let peers = self.cx.shared.peers();
-        let question = self.question(&peers, endpoint, now);
-        self.cx.shared.restraints().take(question, |turn| self.holds(&peers, endpoint, turn), now)
+        let query = self.query(&peers, endpoint, now);
+        self.cx.shared.send_limits().try_reserve(query, |round| self.holds(&peers, endpoint, round), now)
     }
 
-    fn question<'b>(&self, peers: &Peers, endpoint: &'b ListedEndpoint, now: SystemTime) -> Question<'b> {
-        Question {
+    fn query<'b>(&self, peers: &Peers, endpoint: &'b ListedEndpoint, now: SystemTime) -> SendQuery<'b> {
+        SendQuery {
             endpoint,
             cold_per_s: self.cold_per_s,
             may_be_cold: self.cx.shared.emptied.load().may_be_cold(&endpoint.failure_domain, now),
-            vms: peers.is_listed().then(|| peers.revision()),
+            vms_revision: peers.is_listed().then(|| peers.revision()),
         }
     }
 
     /// Whether this VM is one of those that send to an endpoint that takes few requests.
-    fn holds(&self, peers: &Peers, endpoint: &ListedEndpoint, turn: u64) -> bool {
+    fn holds(&self, peers: &Peers, endpoint: &ListedEndpoint, round: u64) -> bool {
         let vm = &self.cx.shared.settings.vm;
-        is_holder((&vm.id, &vm.failure_domain), peers.all(), endpoint, turn)
+        is_holder((&vm.id, &vm.failure_domain), peers.all(), endpoint, round)
     }
 }
--- a/havengrade_router/src/published/signals.rs
+++ b/havengrade_router/src/published/signals.rs
@@ -4,7 +4,7 @@
 
 use havengrade_core::published::{
     directory::ListedEndpoint,
-    signals::{Signal, SignalChange, ToldSignal},
+    signals::{ReportedSignal, Signal, SignalChange},
 };
 use hyper::StatusCode;
 
@@ -34,7 +34,7 @@
     let is_whole = is_answer && facts.is_proven && status.is_success();
     let Signal { limit_per_s, is_leaving, .. } = facts.signal;
     let now = cx.shared.clock.now();
-    let changes = cx.shared.restraints().note(endpoint, facts.signal, is_whole, now);
+    let changes = cx.shared.send_limits().record_signal(endpoint, facts.signal, is_whole, now);
     for change in changes {
         log_change(&endpoint.id, change, OWN_ANSWER);
     }
@@ -44,8 +44,8 @@
 }
 
 /// Takes what another VM tells of endpoints.
-pub(super) fn hear(cx: &PublishedContext, told: Vec<ToldSignal>, now: SystemTime) {
-    let changes = cx.shared.restraints().signals.hear(told, now);
+pub(super) fn hear(cx: &PublishedContext, told: Vec<ReportedSignal>, now: SystemTime) {
+    let changes = cx.shared.send_limits().signals.merge_reported(told, now);
     for (endpoint, change) in changes {
         log_change(&endpoint, change, OTHER_VM);
     }
@@ -57,8 +57,8 @@
             log::info!(endpoint = endpoint, per_s = per_s, by = told_by; "endpoint names a limit");
         },
         SignalChange::Unlimited => log::info!(endpoint = endpoint, by = told_by; "endpoint names no limit any longer"),
-        SignalChange::Leaving => log::info!(endpoint = endpoint, by = told_by; "endpoint says that it leaves"),
-        SignalChange::Resting(rest) => {
+        SignalChange::ShuttingDown => log::info!(endpoint = endpoint, by = told_by; "endpoint says that it leaves"),
+        SignalChange::BackoffRequested(rest) => {
             let rest_ms = rest.as_millis() as u64;
             log::info!(endpoint = endpoint, rest_ms = rest_ms, by = told_by; "endpoint asks this VM for rest");
         },
--- a/havengrade_router/src/published/takers.rs
+++ b/havengrade_router/src/published/takers.rs
@@ -10,11 +10,11 @@
     ids::EndpointId,
     published::{
         directory::{Directory, DirectoryEvent, ListedEndpoint},
-        emptied::{DomainEvent, EmptiedDomains},
+        emptied_domains::{DomainEvent, EmptiedDomains},
+        endpoint_subset::EndpointSubset,
         position::era,
         rollout::RolloutOrder,
         route::{Publication, RouteTable},
-        subset::Subset,
     },
 };
 
@@ -91,7 +91,7 @@
 /// Takes which failure domains are emptied, and which are taken back.
 fn take_domains(cx: &PublishedContext, event: DomainEvent) {
     let mut domains = EmptiedDomains::clone(&cx.shared.emptied.load());
-    let (emptied, refilled) = domains.take(event, cx.shared.clock.now());
+    let (emptied, refilled) = domains.apply(event, cx.shared.clock.now());
     cx.shared.emptied.store(Arc::new(domains));
     for domain in emptied {
         log::info!(domain = domain.as_str(); "failure domain is emptied: its endpoints get nothing");
@@ -117,7 +117,7 @@
 #[derive(Default)]
 pub(super) struct Endpoints {
     directory: Directory,
-    subset: Subset,
+    subset: EndpointSubset,
 }
 
 impl Take<DirectoryEvent> for Endpoints {
@@ -153,7 +153,7 @@
         }
         if has_changed {
             self.show(cx);
-            cx.shared.restraints().keep(self.directory.all(), now);
+            cx.shared.send_limits().retain_listed(self.directory.all(), now);
         }
         cx.shared.set_endpoints_known();
         let directory = &self.directory;
@@ -165,7 +165,7 @@
 impl Endpoints {
     /// Chooses anew how much of the list is used; tells whether that changes.
     fn resize(&mut self, cx: &PublishedContext) -> bool {
-        let next = self.subset.next(self.directory.all(), cx.shared.peers().len() + 1);
+        let next = self.subset.resized(self.directory.all(), cx.shared.peers().len() + 1);
         let is_resized = next != self.subset;
         if is_resized {
             log_part(&self.directory, &next);
@@ -210,7 +210,7 @@
     /// Shows the endpoints that are used to traffic.
     fn show(&self, cx: &PublishedContext) {
         let now = cx.shared.clock.now();
-        cx.shared.restraints().cold.set(self.directory.cold(now));
+        cx.shared.send_limits().cold.set(self.directory.cold(now));
         let used = || self.directory.all().filter(|endpoint| self.subset.includes(endpoint));
         cx.shared.states.configure(used().map(|endpoint| &endpoint.id));
         let mut usable: EndpointsByService = HashMap::new();
@@ -226,7 +226,7 @@
 }
 
 /// Tells how much of the list is used, where this VM knows more; one that was told a part uses all of that.
-fn log_part(directory: &Directory, subset: &Subset) {
+fn log_part(directory: &Directory, subset: &EndpointSubset) {
     let used = directory.all().filter(|endpoint| subset.includes(endpoint)).count();
     if used < directory.len() {
         log::info!(listed = directory.len(), used = used; "another part of the list of endpoints is used");
--- a/havengrade_router/src/published/wire.rs
+++ b/havengrade_router/src/published/wire.rs
@@ -12,7 +12,7 @@
             Halt, KeptSession, RolloutNews, RolloutOutcome, RolloutStatus, RouteEvidence, Seen, ToldHalt, ToldRecent,
             ToldRollout,
         },
-        signals::{ToldLimit, ToldSignal},
+        signals::{ReportedLimit, ReportedSignal},
         times::{LoadedTimes, Times},
     },
     quarantine::{QuarantineNews, ToldAnswer, ToldCrash, ToldHold},
@@ -40,7 +40,7 @@
     /// What it tells of requests that crash endpoints.
     pub(super) quarantine: QuarantineNews,
     /// What endpoints said of themselves.
-    pub(super) signals: Vec<ToldSignal>,
+    pub(super) signals: Vec<ReportedSignal>,
 }
 
 pub(super) fn encode_report(report: Report) -> VmReport {
@@ -111,32 +111,32 @@
     KeptSession { session: kept.session.cast_unsigned(), version: kept.version, used_ago }
 }
 
-pub(super) fn encode_signals(told: Vec<ToldSignal>) -> Vec<EndpointSignal> {
+pub(super) fn encode_signals(told: Vec<ReportedSignal>) -> Vec<EndpointSignal> {
     let millis = |time: Duration| to_i64(time.as_millis() as u64);
-    let encode = |ToldSignal { endpoint, start, limit, leaving_for }| {
+    let encode = |ReportedSignal { endpoint, start, limit, shutting_down_for }| {
         EndpointSignal::new(
             endpoint,
             start.map(to_i64),
-            limit.map(|limit: ToldLimit| millis(limit.age)),
+            limit.map(|limit: ReportedLimit| millis(limit.age)),
             limit.and_then(|limit| limit.per_s).map(Into::into),
-            leaving_for.map(millis),
-            limit.map(|limit| limit.turn.cast_signed()),
+            shutting_down_for.map(millis),
+            limit.map(|limit| limit.round.cast_signed()),
         )
     };
     told.into_iter().map(encode).collect()
 }
 
-pub(super) fn decode_signals(signals: Vec<EndpointSignal>) -> Vec<ToldSignal> {
+pub(super) fn decode_signals(signals: Vec<EndpointSignal>) -> Vec<ReportedSignal> {
     let time = |millis: i64| Duration::from_millis(from_i64(millis));
-    let decode = |signal: EndpointSignal| ToldSignal {
+    let decode = |signal: EndpointSignal| ReportedSignal {
         endpoint: signal.endpoint,
         start: signal.start_ms.map(from_i64),
-        limit: signal.limit_age_ms.map(|age| ToldLimit {
+        limit: signal.limit_age_ms.map(|age| ReportedLimit {
             per_s: signal.limit_per_s.map(f64::from),
             age: time(age),
-            turn: signal.limit_turn.unwrap_or_default().cast_unsigned(),
+            round: signal.limit_turn.unwrap_or_default().cast_unsigned(),
         }),
-        leaving_for: signal.leaving_ms.map(time),
+        shutting_down_for: signal.leaving_ms.map(time),
     };
     signals.into_iter().map(decode).collect()
 }
--- a/havengrade_router/src/settings/sections.rs
+++ b/havengrade_router/src/settings/sections.rs
@@ -4,7 +4,7 @@
 
 use havengrade_core::{
     ids::{DomainId, Permille, VmId},
-    published::withdrawal::Withdrawal,
+    published::withdrawal_policy::WithdrawalPolicy,
 };
 use serde::{Deserialize, Serialize};
 
@@ -252,7 +252,7 @@
     /// Time after which a call to the store counts as failed, beside the time it may wait, in milliseconds.
     pub store_timeout_ms: u64,
     /// Whether requests with keys are refused while it can't be known that their keys still hold.
-    pub withdrawal: Withdrawal,
+    pub withdrawal: WithdrawalPolicy,
     /// Time after which a withdrawn key must no longer be used, in milliseconds; it counts where `withdrawal` is
     /// `bounded`.
     pub withdrawal_ms: u64,
@@ -277,7 +277,7 @@
             config_wait_ms: 700,
             endpoints_poll_ms: 600,
             store_timeout_ms: 1500,
-            withdrawal: Withdrawal::Bounded,
+            withdrawal: WithdrawalPolicy::Bounded,
             withdrawal_ms: 5000,
             max_trial_share: 0.15,
             session_s: 5.0,
--- a/havengrade_router/tests/settings.rs
+++ b/havengrade_router/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Faulty settings: all faults at once, each with its key, value and remedy.
 #![allow(clippy::unwrap_used)]
 
-use havengrade_core::published::withdrawal::Withdrawal;
+use havengrade_core::published::withdrawal_policy::WithdrawalPolicy;
 use havengrade_router::settings::{Fault, ReadError, Settings, SettingsError, SettingsFile, parse};
 
 fn faults(text: &str) -> Vec<Fault> {
@@ -105,8 +105,8 @@
 
 #[test]
 fn what_happens_to_keys_that_may_be_withdrawn_is_named_in_words() {
-    assert_eq!(parse("").unwrap().published.withdrawal, Withdrawal::Bounded);
+    assert_eq!(parse("").unwrap().published.withdrawal, WithdrawalPolicy::Bounded);
     let text = "[published]\nwithdrawal = \"when-learned\"\n";
-    assert_eq!(parse(text).unwrap().published.withdrawal, Withdrawal::WhenLearned);
+    assert_eq!(parse(text).unwrap().published.withdrawal, WithdrawalPolicy::WhenLearned);
     assert!(parse("[published]\nwithdrawal = \"never\"\n").is_err());
 }
