--- a/havengrade_core/src/answered.rs
+++ b/havengrade_core/src/answer_history.rs
@@ -5,7 +5,7 @@
     time::{Duration, SystemTime},
 };
 
-use crate::mark::{RequestMark, VersionMark};
+use crate::fingerprint::{RequestFingerprint, VersionFingerprint};
 
 /// Time for which an answer speaks for the request.
 pub(crate) const ANSWER_LIFE: Duration = Duration::from_secs(60);
@@ -13,17 +13,17 @@
 const GENERATION: usize = 4096;
 
 /// A request, and the version of the endpoints that ran it.
-pub(crate) type Run = (RequestMark, VersionMark);
+pub(crate) type RunKey = (RequestFingerprint, VersionFingerprint);
 
 /// The last answers, in two generations of which the older one is forgotten as a whole.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Answered {
-    newer: HashMap<Run, SystemTime>,
-    older: HashMap<Run, SystemTime>,
+pub(crate) struct AnswerHistory {
+    newer: HashMap<RunKey, SystemTime>,
+    older: HashMap<RunKey, SystemTime>,
 }
 
-impl Answered {
-    pub(crate) fn note(&mut self, run: Run, now: SystemTime) {
+impl AnswerHistory {
+    pub(crate) fn note(&mut self, run: RunKey, now: SystemTime) {
         if self.newer.len() >= GENERATION {
             self.older = std::mem::take(&mut self.newer);
         }
@@ -32,7 +32,7 @@
     }
 
     /// When a request was last answered, if that still speaks for it.
-    pub(crate) fn at(&self, run: &Run, now: SystemTime) -> Option<SystemTime> {
+    pub(crate) fn at(&self, run: &RunKey, now: SystemTime) -> Option<SystemTime> {
         let at = *self.newer.get(run).or_else(|| self.older.get(run))?;
         (now < at + ANSWER_LIFE).then_some(at)
     }
--- a/havengrade_core/src/endpoint_selection.rs
+++ b/havengrade_core/src/endpoint_selection.rs
@@ -7,7 +7,7 @@
 use crate::{
     config::{Catalog, Endpoint},
     ids::EndpointId,
-    secret::spread,
+    secret::uniform_hash,
 };
 
 /// Endpoints that are looked at for one choice.
@@ -101,7 +101,7 @@
         .iter()
         .filter_map(|id| catalog.config.endpoints.get(id))
         .filter(|endpoint| endpoint.deduplicates)
-        .max_by_key(|endpoint| spread(&[key, &endpoint.id]))
+        .max_by_key(|endpoint| uniform_hash(&[key, &endpoint.id]))
 }
 
 fn draw<'a>(candidates: &'a [EndpointId], rng: &mut dyn Rng) -> [Option<&'a EndpointId>; SAMPLE_SIZE] {
--- a/havengrade_core/src/lib.rs
+++ b/havengrade_core/src/lib.rs
@@ -7,26 +7,26 @@
 #![cfg_attr(test, allow(clippy::unwrap_used))]
 
 pub mod admission;
-mod answered;
+mod answer_history;
 pub mod append_budget;
 pub mod billing;
-mod blame;
 pub mod cascade;
 pub mod claim;
 pub mod config;
 pub mod cost;
+mod crash_attribution;
 pub mod drain;
 pub mod endpoint_selection;
 pub mod evidence;
+pub mod fingerprint;
 mod gossip;
-mod hold;
 pub mod ids;
 pub mod ledger;
-pub mod mark;
 pub mod membership;
 pub mod published;
 pub mod quarantine;
-mod quarantine_news;
+mod quarantine_entry;
+mod quarantine_report;
 pub mod ranking;
 pub mod retry_budget;
 pub mod rollout;
--- a/havengrade_core/src/published/directory.rs
+++ b/havengrade_core/src/published/directory.rs
@@ -19,12 +19,12 @@
 /// Whether one start of an endpoint is surely earlier than another; where one of them is not told, they count as the same.
 ///
 /// ```
-/// use havengrade_core::published::directory::is_earlier;
+/// use havengrade_core::published::directory::is_earlier_start;
 ///
-/// assert!(is_earlier(Some(5), Some(9)));
-/// assert!(!is_earlier(Some(9), Some(9)) && !is_earlier(None, Some(9)));
+/// assert!(is_earlier_start(Some(5), Some(9)));
+/// assert!(!is_earlier_start(Some(9), Some(9)) && !is_earlier_start(None, Some(9)));
 /// ```
-pub fn is_earlier(start: Option<EndpointStart>, than: Option<EndpointStart>) -> bool {
+pub fn is_earlier_start(start: Option<EndpointStart>, than: Option<EndpointStart>) -> bool {
     matches!((start, than), (Some(start), Some(than)) if start < than)
 }
 
@@ -70,12 +70,12 @@
 /// Time after an outage's end for which entries that lapsed during it are kept.
 ///
 /// The platform promises that a live endpoint is listed again within about two seconds.
-pub const RETURN_GRACE: Duration = Duration::from_millis(2200);
+pub const RELIST_GRACE: Duration = Duration::from_millis(2200);
 
 /// Time without a read of the list after which entries may have lapsed only because the store was away.
 ///
 /// An endpoint's entry goes after three heartbeats that are missing, each about a second apart.
-pub const OUTAGE_AFTER: Duration = Duration::from_millis(2500);
+pub const OUTAGE_THRESHOLD: Duration = Duration::from_millis(2500);
 
 /// Time for which endpoints that left are remembered; the copy from which a store comes back is some seconds old.
 const LEFT_KEPT: Duration = Duration::from_secs(120);
@@ -138,9 +138,9 @@
         at: SystemTime,
         now: SystemTime,
     ) -> (Vec<DirectoryEvent>, bool) {
-        let was_away = self.last_read.is_some_and(|last| at >= last + OUTAGE_AFTER);
+        let was_away = self.last_read.is_some_and(|last| at >= last + OUTAGE_THRESHOLD);
         if was_away {
-            self.grace_until = Some(now + RETURN_GRACE);
+            self.grace_until = Some(now + RELIST_GRACE);
         }
         self.left.retain(|_, left| now < *left + LEFT_KEPT);
         self.last_read = self.last_read.max(Some(at));
@@ -177,7 +177,7 @@
             DirectoryEvent::Gone(id) => self.lose(&id, now),
             DirectoryEvent::All(endpoints) => self.replace(endpoints, now),
             DirectoryEvent::Restored(endpoints) => {
-                self.grace_until = Some(now + RETURN_GRACE);
+                self.grace_until = Some(now + RELIST_GRACE);
                 self.restored = Some(now);
                 self.replace(endpoints, now)
             },
@@ -186,7 +186,7 @@
 
     fn see(&mut self, endpoint: ListedEndpoint, now: SystemTime) -> bool {
         let known = self.entries.get(&endpoint.id);
-        if known.is_some_and(|entry| is_earlier(endpoint.start, entry.endpoint.start)) {
+        if known.is_some_and(|entry| is_earlier_start(endpoint.start, entry.endpoint.start)) {
             // A late record of an earlier start.
             return false;
         }
@@ -244,7 +244,7 @@
 
     /// Whether the list may miss entries that the store lost, and that are written again soon.
     pub fn is_restoring(&self, now: SystemTime) -> bool {
-        self.restored.is_some_and(|at| now < at + RETURN_GRACE)
+        self.restored.is_some_and(|at| now < at + RELIST_GRACE)
     }
 
     /// Endpoints of all services that may receive new work.
--- a/havengrade_core/src/published/peers.rs
+++ b/havengrade_core/src/published/peers.rs
@@ -12,22 +12,22 @@
 use crate::ids::{DomainId, EndpointId, Incarnation, VmId};
 
 /// Time after which a VM's report no longer says what it has in progress.
-pub const REPORT_LIFE: Duration = Duration::from_millis(2500);
+pub const REPORT_LIFETIME: Duration = Duration::from_millis(2500);
 /// Time after which a VM that is not heard from is forgotten.
 ///
 /// A report goes to a few VMs only, so that in a fleet of some hundred one may hear nothing of another for
 /// half a minute although both live.
-pub const SILENCE_LIMIT: Duration = Duration::from_secs(60);
+pub const PEER_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// VMs that a report goes to at least, where there are so many.
-const LEAST_LISTENERS: usize = 8;
+const LEAST_TARGETS: usize = 8;
 /// VMs of the own failure domain that a report goes to at most.
 ///
 /// They choose among the same endpoints, since most requests are placed nearby, and bytes to them cost nothing.
 /// Measured with thirty VMs in a failure domain: more are better, up to all of them; what a VM hears is bounded.
-const NEAR_LISTENERS: usize = 20;
+const NEAR_TARGETS: usize = 20;
 /// VMs of other failure domains that a report goes to, beside those.
-const FAR_LISTENERS: usize = 3;
+const FAR_TARGETS: usize = 3;
 
 /// Another VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -76,26 +76,26 @@
 pub struct Peers {
     by_vm: BTreeMap<VmId, Known>,
     sums: HashMap<EndpointId, Work>,
-    is_listed: bool,
+    is_list_loaded: bool,
     /// Rises whenever a VM becomes known anew.
     revision: u64,
 }
 
 impl Peers {
     /// Notes that the kept list was read, so that the others are known, if there are any.
-    pub fn set_listed(&mut self) {
-        self.is_listed = true;
+    pub fn set_list_loaded(&mut self) {
+        self.is_list_loaded = true;
     }
 
     /// Whether the kept list was read at least once.
-    pub fn is_listed(&self) -> bool {
-        self.is_listed
+    pub fn is_list_loaded(&self) -> bool {
+        self.is_list_loaded
     }
 
     /// Takes a VM from a list; it counts as heard from at `heard`, so that it has time to report.
     ///
     /// One that was heard from later itself is known better than by the list.
-    pub fn list(&mut self, peer: Peer, heard: SystemTime) {
+    pub fn add_listed(&mut self, peer: Peer, heard: SystemTime) {
         let is_known = self.by_vm.get(&peer.vm).is_some_and(|known| {
             known.peer.incarnation == peer.incarnation || (known.has_reported && known.heard >= heard)
         });
@@ -107,20 +107,20 @@
     }
 
     /// The VMs that are known, each with the time since it was heard from, for a VM that asks.
-    pub fn told(&self, now: SystemTime) -> Vec<(Peer, Duration)> {
+    pub fn known_peers(&self, now: SystemTime) -> Vec<(Peer, Duration)> {
         let silence = |known: &Known| now.duration_since(known.heard).unwrap_or_default();
         self.by_vm.values().map(|known| (known.peer.clone(), silence(known))).collect()
     }
 
     /// Takes VMs that another VM knows, with the time since it heard from them; nobody lives on by being told of.
-    pub fn learn(&mut self, told: Vec<(Peer, Duration)>, now: SystemTime) {
-        for (peer, silence) in told.into_iter().filter(|(_, silence)| *silence < SILENCE_LIMIT) {
-            self.list(peer, now - silence);
+    pub fn merge_known(&mut self, told: Vec<(Peer, Duration)>, now: SystemTime) {
+        for (peer, silence) in told.into_iter().filter(|(_, silence)| *silence < PEER_TIMEOUT) {
+            self.add_listed(peer, now - silence);
         }
     }
 
     /// Takes a report; one that is older than another from the same run has no effect.
-    pub fn report(&mut self, report: WorkReport, now: SystemTime) {
+    pub fn apply_report(&mut self, report: WorkReport, now: SystemTime) {
         let known = self.by_vm.get(&report.peer.vm);
         let is_old = known.is_some_and(|known| {
             known.peer.incarnation == report.peer.incarnation && known.has_reported && known.seq >= report.seq
@@ -136,13 +136,13 @@
 
     /// Forgets VMs that are silent and work that is no longer reported.
     pub fn expire(&mut self, now: SystemTime) {
-        self.by_vm.retain(|_, known| now < known.heard + SILENCE_LIMIT);
+        self.by_vm.retain(|_, known| now < known.heard + PEER_TIMEOUT);
         self.sum_up(now);
     }
 
     fn sum_up(&mut self, now: SystemTime) {
         self.sums.clear();
-        for known in self.by_vm.values().filter(|known| now < known.heard + REPORT_LIFE) {
+        for known in self.by_vm.values().filter(|known| now < known.heard + REPORT_LIFETIME) {
             for (endpoint, work) in &known.work {
                 let sum = self.sums.entry(endpoint.clone()).or_default();
                 sum.requests += work.requests;
@@ -157,17 +157,17 @@
     }
 
     /// The VMs that one report of a VM in `domain` goes to; in a large fleet, others each time.
-    pub fn listeners(&self, domain: &str, rng: &mut dyn Rng) -> Vec<SocketAddr> {
+    pub fn report_targets(&self, domain: &str, rng: &mut dyn Rng) -> Vec<SocketAddr> {
         let (near, far): (Vec<&Peer>, Vec<&Peer>) = self.all().partition(|peer| peer.failure_domain == domain);
-        let near = near.into_iter().sample(rng, NEAR_LISTENERS);
-        let far_wanted = LEAST_LISTENERS.saturating_sub(near.len()).max(FAR_LISTENERS);
+        let near = near.into_iter().sample(rng, NEAR_TARGETS);
+        let far_wanted = LEAST_TARGETS.saturating_sub(near.len()).max(FAR_TARGETS);
         let far = far.into_iter().sample(rng, far_wanted);
         near.into_iter().chain(far).map(|peer| peer.address).collect()
     }
 
     /// Whether there are more VMs than one report goes to.
     pub fn is_large(&self) -> bool {
-        self.len() > LEAST_LISTENERS
+        self.len() > LEAST_TARGETS
     }
 
     /// All VMs that are known.
--- a/havengrade_core/src/published/pins.rs
+++ b/havengrade_core/src/published/pins.rs
@@ -9,7 +9,7 @@
     gossip::{REPORTS_PER_ENTRY, time_from_age},
     ids::SessionId,
     published::directory::SoftwareVersion,
-    secret::spread,
+    secret::uniform_hash,
 };
 
 /// What a session is known by between VMs.
@@ -172,5 +172,5 @@
 
 /// What a session is known by between VMs.
 pub(super) fn mark(session: &str) -> SessionMark {
-    spread(&[session, "mark"])
+    uniform_hash(&[session, "mark"])
 }
--- a/havengrade_core/src/published/recent.rs
+++ b/havengrade_core/src/published/recent.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     ids::{EndpointId, Incarnation},
-    published::peers::REPORT_LIFE,
+    published::peers::REPORT_LIFETIME,
 };
 
 /// Time for which answers count: a service with 25 requests a second, of which half go to a route that fails a third of them, gives
@@ -123,7 +123,7 @@
 
     /// Forgets VMs that are silent.
     pub(super) fn prune(&mut self, now: SystemTime) {
-        self.by_vm.retain(|_, (heard, _)| now < *heard + REPORT_LIFE);
+        self.by_vm.retain(|_, (heard, _)| now < *heard + REPORT_LIFETIME);
     }
 }
 
--- a/havengrade_core/src/published/relay.rs
+++ b/havengrade_core/src/published/relay.rs
@@ -27,16 +27,16 @@
 ///
 /// A reader's view is up to two of its waiting calls old, and it is asked a little later. What remains until a
 /// change must be in force, two seconds, is for a VM's own read.
-pub const TOLD_LIMIT: Duration = Duration::from_millis(2300);
+pub const MAX_RELAYED_AGE: Duration = Duration::from_millis(2300);
 /// Time without a good answer after which a VM counts as told by nobody.
 const ALONE_AFTER: Duration = Duration::from_millis(1200);
 /// Age of a view at which a VM that is told by nobody reads the store.
 const ALONE_LIMIT: Duration = Duration::from_millis(1200);
-/// Age of a view from which VMs whose readers don't reach the store try it in turns.
+/// Age of a view from which VMs whose readers don't reach the store try it in turn_delay.
 ///
 /// It leaves 0.4 s until a change must be in force.
 const TURNS_FROM: Duration = Duration::from_millis(1600);
-/// Time between the turns of two VMs of a failure domain: with six of them, 30 calls a second while the store is away.
+/// Time between the turn_delay of two VMs of a failure domain: with six of them, 30 calls a second while the store is away.
 const TURN: Duration = Duration::from_millis(200);
 /// Age of what a reader tells from which it is taken not to reach the store.
 ///
@@ -54,11 +54,11 @@
 /// How many of so many VMs read the store.
 ///
 /// ```
-/// use havengrade_core::published::relay::readers;
+/// use havengrade_core::published::relay::reader_count;
 ///
-/// assert_eq!([readers(1), readers(9), readers(390)], [1, 2, 7]);
+/// assert_eq!([reader_count(1), reader_count(9), reader_count(390)], [1, 2, 7]);
 /// ```
-pub fn readers(vms: usize) -> usize {
+pub fn reader_count(vms: usize) -> usize {
     vms.div_ceil(VMS_A_READER).max(MIN_READERS).min(vms)
 }
 
@@ -68,16 +68,16 @@
 /// that the fleet has.
 ///
 /// ```
-/// use havengrade_core::published::relay::reading_chance;
+/// use havengrade_core::published::relay::read_probability;
 ///
-/// assert_eq!(reading_chance(64), 1.0);
-/// assert!(reading_chance(1000) < 0.005);
+/// assert_eq!(read_probability(64), 1.0);
+/// assert!(read_probability(1000) < 0.005);
 /// ```
-pub fn reading_chance(vms: usize) -> f64 {
+pub fn read_probability(vms: usize) -> f64 {
     if vms <= VMS_A_READER {
         return 1.0;
     }
-    readers(vms) as f64 / vms as f64 / LOOKS_A_READING
+    reader_count(vms) as f64 / vms as f64 / LOOKS_A_READING
 }
 
 /// How often a VM that others told of news asks two of them for it before it reads the store.
@@ -85,11 +85,11 @@
 /// Those that are served serve others, so that the number of VMs that have the news doubles with each round at least.
 ///
 /// ```
-/// use havengrade_core::published::relay::rounds_before_store;
+/// use havengrade_core::published::relay::peer_rounds_before_read;
 ///
-/// assert_eq!([rounds_before_store(9), rounds_before_store(300), rounds_before_store(2000)], [1, 3, 4]);
+/// assert_eq!([peer_rounds_before_read(9), peer_rounds_before_read(300), peer_rounds_before_read(2000)], [1, 3, 4]);
 /// ```
-pub fn rounds_before_store(vms: usize) -> u32 {
+pub fn peer_rounds_before_read(vms: usize) -> u32 {
     1 + vms.checked_div(VMS_A_READER).and_then(usize::checked_ilog2).unwrap_or_default().min(MAX_ROUNDS)
 }
 
@@ -97,30 +97,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Freshness {
     /// When nothing newer than the view existed.
-    pub viewed: SystemTime,
+    pub confirmed: SystemTime,
     /// When another VM last told anything, however old.
-    pub answered: Option<SystemTime>,
+    pub last_answer: Option<SystemTime>,
     /// How old that was.
-    pub told_age: Duration,
+    pub answer_age: Duration,
 }
 
 impl Default for Freshness {
     fn default() -> Self {
-        Self { viewed: SystemTime::UNIX_EPOCH, answered: None, told_age: Duration::ZERO }
+        Self { confirmed: SystemTime::UNIX_EPOCH, last_answer: None, answer_age: Duration::ZERO }
     }
 }
 
 impl Freshness {
     /// Notes what another VM told: nothing newer existed at `at`.
-    pub fn hear(&mut self, at: SystemTime, now: SystemTime) {
-        self.answered = Some(now);
-        self.told_age = now.duration_since(at).unwrap_or_default();
-        self.viewed = self.viewed.max(at);
+    pub fn record_answer(&mut self, at: SystemTime, now: SystemTime) {
+        self.last_answer = Some(now);
+        self.answer_age = now.duration_since(at).unwrap_or_default();
+        self.confirmed = self.confirmed.max(at);
     }
 
     /// Whether others live but don't reach the store either, as far as is known.
-    pub fn is_store_away_for_others(&self, now: SystemTime) -> bool {
-        is_lately(self.answered, now) && self.told_age >= READER_AGE
+    pub fn is_store_unreachable_for_peers(&self, now: SystemTime) -> bool {
+        is_lately(self.last_answer, now) && self.answer_age >= READER_AGE
     }
 
     /// Whether a VM must read the store itself: its view is old, and nobody told it that nothing is newer.
@@ -131,21 +131,22 @@
     /// use std::time::{Duration, SystemTime};
     /// use havengrade_core::published::relay::Freshness;
     ///
-    /// let viewed = SystemTime::UNIX_EPOCH;
-    /// let now = viewed + Duration::from_millis(1700);
-    /// let alone = Freshness { viewed, ..Freshness::default() };
-    /// assert!(alone.must_read(9, now));
-    /// let told = Freshness { answered: Some(now), ..alone };
-    /// assert!(!told.must_read(0, now));
-    /// let away = Freshness { told_age: Duration::from_secs(2), ..told };
-    /// assert!(away.must_read(0, now) && !away.must_read(9, now));
+    /// let confirmed = SystemTime::UNIX_EPOCH;
+    /// let now = confirmed + Duration::from_millis(1700);
+    /// let alone = Freshness { confirmed, ..Freshness::default() };
+    /// assert!(alone.must_read_store(9, now));
+    /// let told = Freshness { last_answer: Some(now), ..alone };
+    /// assert!(!told.must_read_store(0, now));
+    /// let away = Freshness { answer_age: Duration::from_secs(2), ..told };
+    /// assert!(away.must_read_store(0, now) && !away.must_read_store(9, now));
     /// ```
-    pub fn must_read(&self, place: usize, now: SystemTime) -> bool {
-        if !is_lately(self.answered, now) {
-            return now > self.viewed + ALONE_LIMIT;
+    pub fn must_read_store(&self, place: usize, now: SystemTime) -> bool {
+        if !is_lately(self.last_answer, now) {
+            return now > self.confirmed + ALONE_LIMIT;
         }
-        let limit = if self.is_store_away_for_others(now) { TURNS_FROM + turns(place) } else { TOLD_LIMIT };
-        now > self.viewed + limit
+        let limit =
+            if self.is_store_unreachable_for_peers(now) { TURNS_FROM + turn_delay(place) } else { MAX_RELAYED_AGE };
+        now > self.confirmed + limit
     }
 }
 
@@ -157,23 +158,23 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use havengrade_core::published::relay::turns;
+/// use havengrade_core::published::relay::turn_delay;
 ///
-/// assert_eq!(turns(49), Duration::from_millis(9800));
+/// assert_eq!(turn_delay(49), Duration::from_millis(9800));
 /// ```
-pub fn turns(vms: usize) -> Duration {
+pub fn turn_delay(vms: usize) -> Duration {
     TURN * u32::try_from(vms).unwrap_or(u32::MAX)
 }
 
-/// Where a VM stands among those of its failure domain that try the store in turns.
-pub fn place_among<'a>(others: impl Iterator<Item = &'a VmId>, me: &VmId) -> usize {
+/// Where a VM stands among those of its failure domain that try the store in turn_delay.
+pub fn turn_position<'a>(others: impl Iterator<Item = &'a VmId>, me: &VmId) -> usize {
     let own = rank(&[me]);
     others.filter(|vm| rank(&[vm]) < own).count()
 }
 
 /// Which VMs read the store, as far as this VM finds them to answer.
 #[derive(Clone, Debug, Default)]
-pub struct Readers {
+pub struct ReaderSelection {
     doubts: HashMap<VmId, Doubt>,
     turn: usize,
     /// VMs that reach the store while those whose turn it is do not.
@@ -187,14 +188,14 @@
     until: SystemTime,
 }
 
-impl Readers {
+impl ReaderSelection {
     /// The VMs that read the store, out of all that are known; in the same order wherever it is asked.
     ///
     /// Those that don't answer this VM are passed over, but itself never is.
-    pub fn among<'a>(&self, vms: impl Iterator<Item = &'a VmId>, me: &VmId, now: SystemTime) -> Vec<&'a VmId> {
+    pub fn select<'a>(&self, vms: impl Iterator<Item = &'a VmId>, me: &VmId, now: SystemTime) -> Vec<&'a VmId> {
         let mut ranked: Vec<(u64, &VmId)> = vms.map(|vm| (rank(&[vm]), vm)).collect();
         ranked.sort_unstable();
-        let wanted = readers(ranked.len());
+        let wanted = reader_count(ranked.len());
         let trusted = ranked.into_iter().map(|(_, vm)| vm).filter(|vm| *vm == me || !self.is_doubted(vm, now));
         trusted.take(wanted).collect()
     }
@@ -203,10 +204,10 @@
         self.doubts.get(vm).is_some_and(|doubt| now < doubt.until)
     }
 
-    /// The VM to ask next; they take turns, so that what one of them misses another one tells.
+    /// The VM to ask next; they take turn_delay, so that what one of them misses another one tells.
     ///
     /// While there are volunteers, every other question goes to one of them.
-    pub fn next(&mut self, readers: &[&VmId]) -> Option<VmId> {
+    pub fn next_to_ask(&mut self, readers: &[&VmId]) -> Option<VmId> {
         self.turn = self.turn.wrapping_add(1);
         if self.turn.is_multiple_of(2)
             && let Some(volunteer) = self.volunteers.pop_front()
@@ -218,7 +219,7 @@
     }
 
     /// Notes a VM that offered to read for others.
-    pub fn volunteer(&mut self, vm: VmId) {
+    pub fn add_fallback(&mut self, vm: VmId) {
         if self.volunteers.contains(&vm) {
             return;
         }
@@ -233,13 +234,13 @@
     /// Notes an answer that is too old to be of use: the VM lives, but does not reach the store.
     ///
     /// It is not passed over: whoever comes after it may reach the store no better, and would ask it as well.
-    pub fn hear_old(&mut self, vm: &str) {
+    pub fn record_stale_answer(&mut self, vm: &str) {
         self.doubts.remove(vm);
         self.volunteers.retain(|known| known != vm);
     }
 
     /// Notes that a VM gave no answer.
-    pub fn miss(&mut self, vm: &VmId, now: SystemTime) {
+    pub fn record_miss(&mut self, vm: &VmId, now: SystemTime) {
         self.volunteers.retain(|known| known != vm);
         let doubt = self.doubts.entry(vm.clone()).or_insert(Doubt { misses: 0, until: now });
         doubt.misses += 1;
@@ -251,7 +252,7 @@
     /// Notes a good answer of a VM; with one of a reader, nobody needs to read in its place.
     ///
     /// Tells whether it came from a reader.
-    pub fn hear(&mut self, vm: &str) -> bool {
+    pub fn record_answer(&mut self, vm: &str) -> bool {
         self.doubts.remove(vm);
         let is_reader = !self.is_volunteer(vm);
         if is_reader {
@@ -288,7 +289,7 @@
 
 impl ChangeLog {
     /// Notes what a read brought and the position after it; the list has so many endpoints.
-    pub fn note(&mut self, events: &[DirectoryEvent], position: u64, listed: usize) {
+    pub fn record(&mut self, events: &[DirectoryEvent], position: u64, listed: usize) {
         let is_list = events.iter().any(|event| matches!(event, DirectoryEvent::All(_) | DirectoryEvent::Restored(_)));
         if is_list {
             self.changes.clear();
@@ -322,8 +323,8 @@
     /// use havengrade_core::published::{directory::DirectoryEvent, relay::ChangeLog};
     ///
     /// let mut log = ChangeLog::default();
-    /// log.note(&[DirectoryEvent::All(Vec::new())], 5, 1);
-    /// log.note(&[DirectoryEvent::Gone("e1".into())], 9, 0);
+    /// log.record(&[DirectoryEvent::All(Vec::new())], 5, 1);
+    /// log.record(&[DirectoryEvent::Gone("e1".into())], 9, 0);
     /// assert_eq!(log.since(5).unwrap().len(), 1);
     /// assert_eq!(log.since(9).unwrap().len(), 0);
     /// assert!(log.since(4).is_none() && log.since(10).is_none());
--- a/havengrade_core/src/published/route.rs
+++ b/havengrade_core/src/published/route.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     ids::{AccountId, ModelId, ServiceId},
-    secret::spread,
+    secret::uniform_hash,
 };
 
 /// Name of a published route.
@@ -80,7 +80,7 @@
         if total == 0 {
             return self.targets.first().map(|target| &target.service);
         }
-        let mut place = spread(&[&self.name, request]) % total;
+        let mut place = uniform_hash(&[&self.name, request]) % total;
         for target in &self.targets {
             let weight = u64::from(target.weight);
             if place < weight {
--- a/havengrade_core/src/published/running.rs
+++ b/havengrade_core/src/published/running.rs
@@ -14,7 +14,7 @@
         told::{ToldHalt, ToldRecent},
         versions::Versions,
     },
-    secret::spread,
+    secret::uniform_hash,
 };
 
 /// Part of the bound on a bad version that is used; the rest is for sessions that ask more than others.
@@ -315,5 +315,5 @@
 
 /// Where a subject stands among the slots, evenly spread and the same on every VM and for every order.
 pub(super) fn place(subject: &str) -> u64 {
-    spread(&[subject]) % SLOTS
+    uniform_hash(&[subject]) % SLOTS
 }
--- a/havengrade_core/src/published/signals.rs
+++ b/havengrade_core/src/published/signals.rs
@@ -12,7 +12,7 @@
 use crate::{
     gossip::{REPORTS_PER_ENTRY, least_reported, time_from_age},
     ids::EndpointId,
-    published::directory::{EndpointStart, ListedEndpoint, is_earlier},
+    published::directory::{EndpointStart, ListedEndpoint, is_earlier_start},
 };
 
 /// Time for which others are told that an endpoint names no limit any longer, and for which what gone endpoints said is kept.
@@ -76,7 +76,7 @@
 
     /// Begins anew where a later start is met.
     fn meet(&mut self, start: Option<EndpointStart>, now: SystemTime) {
-        if is_earlier(self.start, start) {
+        if is_earlier_start(self.start, start) {
             *self = Self::new(start, now);
         }
         self.start = self.start.or(start);
@@ -204,11 +204,11 @@
     fn of_start(&mut self, endpoint: &str, start: Option<EndpointStart>, now: SystemTime) -> Option<&mut Known> {
         let known = self.known.entry(endpoint.to_owned()).or_insert_with(|| Known::new(start, now));
         known.meet(start, now);
-        (!is_earlier(start, known.start)).then_some(known)
+        (!is_earlier_start(start, known.start)).then_some(known)
     }
 
     fn get(&self, endpoint: &ListedEndpoint) -> Option<&Known> {
-        self.known.get(&endpoint.id).filter(|known| !is_earlier(known.start, endpoint.start))
+        self.known.get(&endpoint.id).filter(|known| !is_earlier_start(known.start, endpoint.start))
     }
 
     /// Whether nothing is known of any endpoint.
--- a/havengrade_core/src/published/start.rs
+++ b/havengrade_core/src/published/startup.rs
@@ -15,13 +15,13 @@
 
 /// Longest time for which a VM listens for others before it reads the list of VMs.
 ///
-/// With 200 ms here, and with 350 ms of `UNTOLD_LIMIT` and longer rounds, a day on which all start again was worth 0.013 less on
+/// With 200 ms here, and with 350 ms of `PEER_ANSWER_TIMEOUT` and longer rounds, a day on which all start again was worth 0.013 less on
 /// one small site and as much on two others (six seeds each).
-pub const LISTEN: Duration = Duration::from_millis(60);
+pub const MAX_LISTEN_TIME: Duration = Duration::from_millis(60);
 /// Time for which a VM listens at the first start of all, when all others enter the list as well.
 ///
 /// The list takes an entry in a millisecond.
-pub const FIRST_LISTEN: Duration = Duration::from_millis(1000);
+pub const FIRST_START_LISTEN_TIME: Duration = Duration::from_millis(1000);
 /// VMs for each of which one reads the store itself where nobody knows anything yet.
 ///
 /// Each then hands on to 15 others: with 20 KB each that is 0.12 s of a link of 20 Mbit/s.
@@ -34,13 +34,13 @@
 /// Time after the first round from which a VM that nobody tells reads the store itself.
 ///
 /// The first ones need some 20 ms for their reads and hand on in a tree of two or three levels.
-pub const UNTOLD_LIMIT: Duration = Duration::from_millis(200);
+pub const PEER_ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time since another VM surely was reading after which a VM no longer waits for it: two questions that it may leave open.
 const READING_LIMIT: Duration = Duration::from_millis(800);
 /// Time between two VMs of a failure domain that read the store since nobody told them.
 const UNTOLD_STEP: Duration = Duration::from_millis(20);
 /// Time between two rounds.
-pub const ROUND: Duration = Duration::from_millis(50);
+pub const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 /// Least time after which the store is tried again that did not answer a VM that starts.
 const LEAST_RETRY: Duration = Duration::from_millis(100);
 /// Part of the time that the store has been away after which it is tried again.
@@ -55,27 +55,27 @@
 const ENTRY_TIME: Duration = Duration::from_millis(2);
 
 /// Time over which the entries of so many VMs are spread.
-pub fn entry_spread(vms: usize) -> Duration {
+pub fn registration_spread(vms: usize) -> Duration {
     ENTRY_TIME * u32::try_from(vms).unwrap_or(u32::MAX)
 }
 
 /// How long a VM listens before it reads the list of VMs.
-pub fn listen_for(rng: &mut dyn Rng) -> Duration {
-    LISTEN.mul_f64(rng.random::<f64>())
+pub fn listen_time(rng: &mut dyn Rng) -> Duration {
+    MAX_LISTEN_TIME.mul_f64(rng.random::<f64>())
 }
 
 /// Time after which the store is tried again that has not answered a VM since its start, `waited` ago.
 ///
 /// ```
 /// use std::time::Duration;
-/// use havengrade_core::published::start::retry_after;
+/// use havengrade_core::published::startup::retry_delay;
 /// use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng as _};
 ///
 /// let mut rng = ChaCha8Rng::seed_from_u64(1);
-/// assert!(retry_after(Duration::ZERO, &mut rng) <= Duration::from_millis(125));
-/// assert!(retry_after(Duration::from_secs(4), &mut rng) >= Duration::from_millis(400));
+/// assert!(retry_delay(Duration::ZERO, &mut rng) <= Duration::from_millis(125));
+/// assert!(retry_delay(Duration::from_secs(4), &mut rng) >= Duration::from_millis(400));
 /// ```
-pub fn retry_after(waited: Duration, rng: &mut dyn Rng) -> Duration {
+pub fn retry_delay(waited: Duration, rng: &mut dyn Rng) -> Duration {
     let pause = LEAST_RETRY.max(waited.mul_f64(RETRY_PART));
     pause.mul_f64(1.0 + RETRY_SPREAD * rng.random::<f64>())
 }
@@ -103,7 +103,7 @@
 
 impl FirstReaders {
     /// Those of a list.
-    pub fn among(vms: &[&Peer]) -> Self {
+    pub fn select(vms: &[&Peer]) -> Self {
         let mut by_domain = HashMap::new();
         for peer in vms {
             by_domain.entry(peer.failure_domain.clone()).or_insert_with(|| {
@@ -115,42 +115,42 @@
     }
 
     /// Those that VMs of a failure domain ask.
-    pub fn of(&self, domain: &str) -> &[SocketAddr] {
+    pub fn in_domain(&self, domain: &str) -> &[SocketAddr] {
         self.by_domain.get(domain).map(Vec::as_slice).unwrap_or_default()
     }
 
     /// Whether a VM is one of them.
-    pub fn includes(&self, peer: &Peer) -> bool {
-        self.of(&peer.failure_domain).contains(&peer.address)
+    pub fn contains(&self, peer: &Peer) -> bool {
+        self.in_domain(&peer.failure_domain).contains(&peer.address)
     }
 }
 
 /// What others told a VM that starts of who reads the store.
 #[derive(Clone, Debug, Default)]
-pub struct ReadingNews {
+pub struct StoreReadReports {
     /// Whether this VM is one of those that read first, as one says that has read the list of VMs.
     reads_first: bool,
     /// Those that do.
     readers: Vec<SocketAddr>,
     /// When another VM surely was reading.
-    read_at: Option<SystemTime>,
+    last_read: Option<SystemTime>,
 }
 
-impl ReadingNews {
+impl StoreReadReports {
     /// Takes what a VM says that has read the list.
-    pub fn greet(&mut self, reads_first: bool, readers: Vec<SocketAddr>) {
+    pub fn apply_greeting(&mut self, reads_first: bool, readers: Vec<SocketAddr>) {
         self.reads_first |= reads_first;
         self.readers = readers;
     }
 
     /// Takes that another VM was reading at a time; older news have no effect.
-    pub fn hear(&mut self, read_at: SystemTime) {
-        self.read_at = self.read_at.max(Some(read_at));
+    pub fn record_read(&mut self, last_read: SystemTime) {
+        self.last_read = self.last_read.max(Some(last_read));
     }
 
     /// When another VM surely was reading, if any was.
-    pub fn read_at(&self) -> Option<SystemTime> {
-        self.read_at
+    pub fn last_read(&self) -> Option<SystemTime> {
+        self.last_read
     }
 }
 
@@ -160,25 +160,25 @@
     /// It asks again.
     Ask,
     /// It reads the list of VMs, to learn when its turn is.
-    ReadList,
+    ReadVmList,
     /// It reads the store.
     ReadStore,
 }
 
 /// A VM that starts, and the others that it knows of.
 #[derive(Clone, Debug)]
-pub struct Starting<'a> {
+pub struct StartingVm<'a> {
     /// The VM.
     pub me: &'a Peer,
     /// Others that it has heard of.
     pub others: Vec<&'a Peer>,
     /// Whether these are all that were on the list.
-    pub is_listed: bool,
+    pub is_list_loaded: bool,
     /// What it was told.
-    pub news: &'a ReadingNews,
+    pub news: &'a StoreReadReports,
 }
 
-impl Starting<'_> {
+impl StartingVm<'_> {
     /// The VMs of the failure domain in the order in which they read the store, or of all where it has no other.
     fn order(&self) -> Vec<&Peer> {
         let vms: Vec<&Peer> = self.others.iter().copied().chain([self.me]).collect();
@@ -187,10 +187,10 @@
 
     /// Whom to ask in a round; rounds count from 0.
     ///
-    /// At first any VM, since in a fleet that lives all of them know. Later, in every other round, one of those that read the
+    /// At first any VM, since in a fleet that lives all of them know. Wait, in every other round, one of those that read the
     /// store first and any other. Where only those that read first are known by name, one of them is asked each time.
-    pub fn ask(&self, round: usize, rng: &mut dyn Rng) -> Vec<SocketAddr> {
-        if !self.is_listed && !self.news.readers.is_empty() {
+    pub fn peers_to_ask(&self, round: usize, rng: &mut dyn Rng) -> Vec<SocketAddr> {
+        if !self.is_list_loaded && !self.news.readers.is_empty() {
             return self.news.readers.iter().copied().filter(|reader| *reader != self.me.address).sample(rng, 1);
         }
         let mut asked = self.any(rng);
@@ -222,11 +222,11 @@
             return NextStep::ReadStore;
         }
         // Who was greeted waits for those that read first, which look at the list of VMs before.
-        let patience = if self.news.readers.is_empty() { UNTOLD_LIMIT } else { READING_LIMIT };
-        let told_until = self.news.read_at.map_or(asked, |at| at + READING_LIMIT);
+        let patience = if self.news.readers.is_empty() { PEER_ANSWER_TIMEOUT } else { READING_LIMIT };
+        let told_until = self.news.last_read.map_or(asked, |at| at + READING_LIMIT);
         let untold_from = told_until.max(asked + patience);
-        if !self.is_listed {
-            return if now >= untold_from { NextStep::ReadList } else { NextStep::Ask };
+        if !self.is_list_loaded {
+            return if now >= untold_from { NextStep::ReadVmList } else { NextStep::Ask };
         }
         let order = self.order();
         let place = order.iter().position(|peer| peer.vm == self.me.vm).unwrap_or_default();
--- a/havengrade_core/src/published/handing.rs
+++ b/havengrade_core/src/published/state_transfer.rs
@@ -12,57 +12,57 @@
 
 /// What to do with a VM that asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admission {
+pub enum TransferDecision {
     /// Hand on to it.
     Serve,
     /// Name this VM, which was handed the same.
-    Instead(SocketAddr),
+    Redirect(SocketAddr),
     /// Let it wait: the link is busy, and nobody was served yet whom it could ask.
-    Later,
+    Wait,
 }
 
 /// The VMs that are being served and those that were.
 #[derive(Clone, Debug, Default)]
-pub struct Handing {
+pub struct TransferLimiter {
     busy: usize,
     /// Who was served what stands at this revision.
     revision: u64,
     served: VecDeque<SocketAddr>,
 }
 
-impl Handing {
+impl TransferLimiter {
     /// Decides on a VM that asks for what stands at a revision.
     ///
     /// Those that come at once before anyone was served wait, so that they don't share one link.
     ///
     /// ```
-    /// use havengrade_core::published::handing::{Admission, Handing};
+    /// use havengrade_core::published::state_transfer::{TransferDecision, TransferLimiter};
     ///
-    /// let mut handing = Handing::default();
+    /// let mut limiter = TransferLimiter::default();
     /// let taker = "10.0.0.2:80".parse().unwrap();
-    /// (0..4).for_each(|_| assert_eq!(handing.admit(7), Admission::Serve));
-    /// assert_eq!(handing.admit(7), Admission::Later);
-    /// handing.end(7, Some(taker));
-    /// assert_eq!(handing.admit(7), Admission::Serve);
-    /// assert_eq!(handing.admit(7), Admission::Instead(taker));
-    /// assert_eq!(handing.admit(8), Admission::Later, "nobody has the newer one yet");
+    /// (0..4).for_each(|_| assert_eq!(limiter.admit(7), TransferDecision::Serve));
+    /// assert_eq!(limiter.admit(7), TransferDecision::Wait);
+    /// limiter.finish(7, Some(taker));
+    /// assert_eq!(limiter.admit(7), TransferDecision::Serve);
+    /// assert_eq!(limiter.admit(7), TransferDecision::Redirect(taker));
+    /// assert_eq!(limiter.admit(8), TransferDecision::Wait, "nobody has the newer one yet");
     /// ```
-    pub fn admit(&mut self, revision: u64) -> Admission {
+    pub fn admit(&mut self, revision: u64) -> TransferDecision {
         if revision != self.revision {
             self.revision = revision;
             self.served.clear();
         }
         if self.busy >= AT_ONCE {
-            let Some(instead) = self.served.pop_front() else { return Admission::Later };
+            let Some(instead) = self.served.pop_front() else { return TransferDecision::Wait };
             self.served.push_back(instead);
-            return Admission::Instead(instead);
+            return TransferDecision::Redirect(instead);
         }
         self.busy += 1;
-        Admission::Serve
+        TransferDecision::Serve
     }
 
     /// Notes that a VM was served, or left before it was.
-    pub fn end(&mut self, revision: u64, served: Option<SocketAddr>) {
+    pub fn finish(&mut self, revision: u64, served: Option<SocketAddr>) {
         self.busy = self.busy.saturating_sub(1);
         if let Some(taker) = served.filter(|_| revision == self.revision) {
             self.served.push_back(taker);
--- a/havengrade_core/src/rollout.rs
+++ b/havengrade_core/src/rollout.rs
@@ -7,7 +7,7 @@
     config::{Account, Config, Rollout, RolloutState},
     evidence::{EvidenceTotals, Tally},
     ids::{RolloutId, VersionId},
-    secret::spread,
+    secret::uniform_hash,
 };
 
 /// Thousandths in a whole.
@@ -49,7 +49,7 @@
 
 /// Where a bucketing_id stands between 0 and 999, evenly spread and the same on every VM.
 fn place(rollout: &str, bucketing_id: &str) -> u64 {
-    spread(&[rollout, bucketing_id]) % WHOLE
+    uniform_hash(&[rollout, bucketing_id]) % WHOLE
 }
 
 /// What the evidence says of a roll-out.
--- a/havengrade_core/src/secret.rs
+++ b/havengrade_core/src/secret.rs
@@ -58,12 +58,12 @@
 /// A number that is evenly spread over its range, and the same on every VM and in every build.
 ///
 /// ```
-/// use havengrade_core::secret::spread;
+/// use havengrade_core::secret::uniform_hash;
 ///
-/// assert_eq!(spread(&["a", "b"]), spread(&["a", "b"]));
-/// assert_ne!(spread(&["ab", ""]), spread(&["a", "b"]));
+/// assert_eq!(uniform_hash(&["a", "b"]), uniform_hash(&["a", "b"]));
+/// assert_ne!(uniform_hash(&["ab", ""]), uniform_hash(&["a", "b"]));
 /// ```
-pub fn spread(parts: &[&str]) -> u64 {
+pub fn uniform_hash(parts: &[&str]) -> u64 {
     let mut hasher = Sha256::new();
     for part in parts {
         hasher.update(part.as_bytes());
--- a/havengrade_core/tests/published.rs
+++ b/havengrade_core/tests/published.rs
@@ -11,7 +11,7 @@
     endpoint_selection::EndpointState,
     published::{
         attempt::{Attempts, Guarantee, RunState},
-        directory::{Directory, DirectoryEvent, ListedEndpoint, RETURN_GRACE},
+        directory::{Directory, DirectoryEvent, ListedEndpoint, RELIST_GRACE},
         peers::Work,
         placement::{Candidate, PlacementContext, Prompt, place},
         route::{AnswerShape, Publication, PublishedAccount, PublishedRoute, Repeat, RouteTable, RouteTarget},
@@ -149,7 +149,7 @@
         directory.apply(Vec::new(), at(back + later), at(back + later));
         assert_eq!(directory.usable().count(), 2);
     }
-    let after = back + u64::try_from(RETURN_GRACE.as_millis()).unwrap();
+    let after = back + u64::try_from(RELIST_GRACE.as_millis()).unwrap();
     assert!(directory.apply(Vec::new(), at(after), at(after)).1);
     assert_eq!(directory.usable().map(|e| e.id.as_str()).collect::<Vec<_>>(), ["b"]);
 }
--- a/havengrade_core/tests/published_fleet.rs
+++ b/havengrade_core/tests/published_fleet.rs
@@ -7,8 +7,8 @@
 };
 
 use havengrade_core::published::{
-    peers::{Peer, Peers, REPORT_LIFE, SILENCE_LIMIT, Work, WorkReport},
-    relay::Readers,
+    peers::{PEER_TIMEOUT, Peer, Peers, REPORT_LIFETIME, Work, WorkReport},
+    relay::ReaderSelection,
 };
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng as _};
 
@@ -31,15 +31,15 @@
 #[test]
 fn late_reports_have_no_effect() {
     let mut peers = Peers::default();
-    peers.report(report(1, 2, 5), at(0));
-    peers.report(report(1, 1, 9), at(10));
+    peers.apply_report(report(1, 2, 5), at(0));
+    peers.apply_report(report(1, 1, 9), at(10));
     assert_eq!(peers.work("a").requests, 5);
-    peers.report(report(2, 1, 7), at(20));
+    peers.apply_report(report(2, 1, 7), at(20));
     assert_eq!(peers.work("a").requests, 7);
 }
 
 /// The failure domains of those whom a report goes to, in a fleet with so many VMs in each.
-fn listeners(vms: &[(&str, u8)], from: &str, seed: u64) -> Vec<String> {
+fn report_targets(vms: &[(&str, u8)], from: &str, seed: u64) -> Vec<String> {
     let mut peers = Peers::default();
     let mut domains = HashMap::new();
     for (domain, count) in vms {
@@ -47,31 +47,31 @@
             let host = u8::try_from(domains.len()).expect("a small fleet");
             let peer = peer(&format!("vm-{domain}-{index}"), host, domain);
             domains.insert(peer.address, (*domain).to_owned());
-            peers.list(peer, at(0));
+            peers.add_listed(peer, at(0));
         }
     }
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    peers.listeners(from, &mut rng).into_iter().map(|address| domains[&address].clone()).collect()
+    peers.report_targets(from, &mut rng).into_iter().map(|address| domains[&address].clone()).collect()
 }
 
 #[test]
 fn reports_go_to_all_of_a_small_fleet_and_mostly_nearby_in_a_large_one() {
-    assert_eq!(listeners(&[("d1", 1), ("d2", 2), ("d3", 2)], "d1", 1).len(), 5);
-    let large = listeners(&[("d1", 30), ("d2", 30), ("d3", 30)], "d1", 1);
+    assert_eq!(report_targets(&[("d1", 1), ("d2", 2), ("d3", 2)], "d1", 1).len(), 5);
+    let large = report_targets(&[("d1", 30), ("d2", 30), ("d3", 30)], "d1", 1);
     let near = large.iter().filter(|domain| *domain == "d1").count();
     assert_eq!((near, large.len() - near), (20, 3));
-    let scattered = listeners(&[("d1", 2), ("d2", 30)], "d1", 1);
+    let scattered = report_targets(&[("d1", 2), ("d2", 30)], "d1", 1);
     assert_eq!(scattered.len(), 8, "with few VMs nearby, others make up for them");
 }
 
 #[test]
 fn a_silent_vm_has_no_work_and_is_forgotten() {
     let mut peers = Peers::default();
-    peers.report(report(1, 1, 5), at(0));
-    peers.expire(START + REPORT_LIFE);
+    peers.apply_report(report(1, 1, 5), at(0));
+    peers.expire(START + REPORT_LIFETIME);
     assert_eq!(peers.work("a"), Work::default());
     assert_eq!(peers.len(), 1);
-    peers.expire(START + SILENCE_LIMIT);
+    peers.expire(START + PEER_TIMEOUT);
     assert!(peers.is_empty());
 }
 
@@ -79,36 +79,37 @@
 fn readers_that_do_not_answer_are_passed_over_for_a_time() {
     let vms: Vec<String> = (0..20).map(|index| format!("vm-{index}")).collect();
     let me = &vms[0];
-    let mut readers = Readers::default();
-    let among =
-        |readers: &Readers, ms| -> Vec<String> { readers.among(vms.iter(), me, at(ms)).into_iter().cloned().collect() };
+    let mut readers = ReaderSelection::default();
+    let among = |readers: &ReaderSelection, ms| -> Vec<String> {
+        readers.select(vms.iter(), me, at(ms)).into_iter().cloned().collect()
+    };
     let usual = among(&readers, 0);
     assert_eq!(usual.len(), 2);
-    readers.miss(&usual[0], at(0));
+    readers.record_miss(&usual[0], at(0));
     assert_eq!(among(&readers, 0), usual, "one datagram may be lost");
-    readers.miss(&usual[0], at(400));
+    readers.record_miss(&usual[0], at(400));
     let without = among(&readers, 400);
     assert!(!without.contains(&usual[0]) && without.len() == 2);
     assert_eq!(among(&readers, 2_400), usual, "it is asked again after a time");
-    readers.miss(&usual[0], at(2_400));
+    readers.record_miss(&usual[0], at(2_400));
     assert_eq!(among(&readers, 6_300), without, "each further miss doubles the time");
-    readers.hear(&usual[0]);
+    readers.record_answer(&usual[0]);
     assert_eq!(among(&readers, 2_400), usual);
 }
 
 #[test]
 fn a_vm_never_passes_itself_over() {
     let me = "vm-0".to_owned();
-    let mut readers = Readers::default();
-    (0..9).for_each(|_| readers.miss(&me, at(0)));
-    assert_eq!(readers.among([&me].into_iter(), &me, at(0)), [&me]);
+    let mut readers = ReaderSelection::default();
+    (0..9).for_each(|_| readers.record_miss(&me, at(0)));
+    assert_eq!(readers.select([&me].into_iter(), &me, at(0)), [&me]);
 }
 
 #[test]
 fn readers_are_asked_in_turns() {
     let (a, b) = ("a".to_owned(), "b".to_owned());
-    let mut readers = Readers::default();
-    let asked: Vec<_> = (0..4).filter_map(|_| readers.next(&[&a, &b])).collect();
+    let mut readers = ReaderSelection::default();
+    let asked: Vec<_> = (0..4).filter_map(|_| readers.next_to_ask(&[&a, &b])).collect();
     assert_eq!(asked, ["b", "a", "b", "a"]);
-    assert_eq!(readers.next(&[]), None);
+    assert_eq!(readers.next_to_ask(&[]), None);
 }
--- a/havengrade_core/tests/published_older_copy.rs
+++ b/havengrade_core/tests/published_older_copy.rs
@@ -5,11 +5,11 @@
 
 use havengrade_core::{
     published::{
-        directory::{Directory, DirectoryEvent, ListedEndpoint, RETURN_GRACE},
+        directory::{Directory, DirectoryEvent, ListedEndpoint, RELIST_GRACE},
         emptied_domains::{DomainEvent, EmptiedDomains},
         rollout::{RolloutOutcome, RolloutStatus, Rollouts},
     },
-    quarantine::{KeptHold, Quarantine},
+    quarantine::{Quarantine, QuarantineEntry},
 };
 
 fn at(millis: u64) -> SystemTime {
@@ -45,7 +45,7 @@
     directory.apply(vec![DirectoryEvent::Restored(["b", "c"].map(endpoint).to_vec())], at(1800), at(1800));
     assert_eq!(usable(&directory), ["a"]);
     // Read again, it shows those that left as before, and a as it is written again.
-    let grace = u64::try_from(RETURN_GRACE.as_millis()).unwrap();
+    let grace = u64::try_from(RELIST_GRACE.as_millis()).unwrap();
     directory.apply(vec![DirectoryEvent::All(["a", "b"].map(endpoint).to_vec())], at(1900 + grace), at(1900 + grace));
     assert_eq!(usable(&directory), ["a"]);
     directory.apply(vec![DirectoryEvent::Seen(endpoint("b"))], at(5000), at(5000));
@@ -105,13 +105,20 @@
 
 #[test]
 fn a_request_that_was_answered_since_is_taken_off_an_older_list() {
-    let hold =
-        KeptHold { mark: 7, version: 1, first_crash: at(0), since: at(0), until: at(90_000), trials: 0, tried: None };
+    let hold = QuarantineEntry {
+        fingerprint: 7,
+        version: 1,
+        first_crash: at(0),
+        since: at(0),
+        until: at(90_000),
+        trials: 0,
+        last_trial: None,
+    };
     let mut quarantine = Quarantine::default();
-    quarantine.take_kept(&[hold], at(100));
-    quarantine.note_answered((7, 1), at(2000));
-    assert_eq!(quarantine.freed(), [7]);
-    quarantine.set_off_list(7);
-    assert!(quarantine.take_kept(&[hold], at(5000)).is_empty(), "it is not held again");
-    assert_eq!(quarantine.freed(), [7], "and goes off the list once more");
+    quarantine.merge_stored(&[hold], at(100));
+    quarantine.record_answer((7, 1), at(2000));
+    assert_eq!(quarantine.released(), [7]);
+    quarantine.set_removed(7);
+    assert!(quarantine.merge_stored(&[hold], at(5000)).is_empty(), "it is not held again");
+    assert_eq!(quarantine.released(), [7], "and goes off the list once more");
 }
--- a/havengrade_core/tests/published_start.rs
+++ b/havengrade_core/tests/published_start.rs
@@ -8,9 +8,9 @@
 };
 
 use havengrade_core::published::{
-    handing::{Admission, Handing},
     peers::Peer,
-    start::{FirstReaders, NextStep, ROUND, ReadingNews, Starting, UNTOLD_LIMIT},
+    startup::{FirstReaders, NextStep, PEER_ANSWER_TIMEOUT, ROUND_INTERVAL, StartingVm, StoreReadReports},
+    state_transfer::{TransferDecision, TransferLimiter},
 };
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng as _};
 
@@ -45,15 +45,16 @@
     let mut knows_at: BTreeMap<usize, SystemTime> = BTreeMap::new();
     let mut readers = BTreeSet::new();
     for round in 0.. {
-        let now = began + ROUND * u32::try_from(round).unwrap();
+        let now = began + ROUND_INTERVAL * u32::try_from(round).unwrap();
         assert!(now < began + Duration::from_secs(2), "the start does not end");
         for me in (0..fleet.len()).filter(|me| !dead.contains(me)) {
             if knows_at.contains_key(&me) {
                 continue;
             }
             let others = fleet.iter().filter(|peer| peer.vm != fleet[me].vm).collect();
-            let starting = Starting { me: &fleet[me], others, is_listed: true, news: &ReadingNews::default() };
-            let asked = starting.ask(round, &mut rng);
+            let starting =
+                StartingVm { me: &fleet[me], others, is_list_loaded: true, news: &StoreReadReports::default() };
+            let asked = starting.peers_to_ask(round, &mut rng);
             let is_told = asked.iter().any(|to| knows_at.get(&index_of[to]).is_some_and(|at| *at <= now));
             if !is_told && starting.next_step(began, now) == NextStep::ReadStore {
                 readers.insert(me);
@@ -77,7 +78,7 @@
         let outcome = start(&fleet, &BTreeSet::new(), seed);
         // Four first ones in each failure domain; the others are told before it is their turn.
         assert_eq!(outcome.readers.len(), 4 * DOMAINS, "seed {seed}");
-        assert!(outcome.took <= UNTOLD_LIMIT, "seed {seed}: {:?}", outcome.took);
+        assert!(outcome.took <= PEER_ANSWER_TIMEOUT, "seed {seed}: {:?}", outcome.took);
     }
 }
 
@@ -89,7 +90,7 @@
         let outcome = start(&fleet, &first, seed);
         // Half of the rounds are lost on those that are gone, so that some more have their turn before they are told.
         assert!(outcome.readers.len() <= 12 * DOMAINS, "seed {seed}: {} readers", outcome.readers.len());
-        assert!(outcome.took <= 4 * UNTOLD_LIMIT, "seed {seed}: {:?}", outcome.took);
+        assert!(outcome.took <= 4 * PEER_ANSWER_TIMEOUT, "seed {seed}: {:?}", outcome.took);
     }
 }
 
@@ -97,15 +98,15 @@
 fn a_vm_that_starts_among_others_that_live_asks_two_of_its_failure_domain() {
     let fleet = fleet();
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    let news = ReadingNews::default();
-    let starting = Starting { me: &fleet[0], others: fleet[1..].iter().collect(), is_listed: true, news: &news };
+    let news = StoreReadReports::default();
+    let starting = StartingVm { me: &fleet[0], others: fleet[1..].iter().collect(), is_list_loaded: true, news: &news };
     let near: BTreeSet<SocketAddr> =
         fleet.iter().filter(|peer| peer.failure_domain == "d0").map(|peer| peer.address).collect();
-    let asked = starting.ask(0, &mut rng);
+    let asked = starting.peers_to_ask(0, &mut rng);
     assert!(asked.len() == 2 && asked.iter().all(|address| near.contains(address)));
     let me = Peer { failure_domain: "elsewhere".into(), ..fleet[0].clone() };
-    let alone = Starting { me: &me, others: fleet[1..3].iter().collect(), is_listed: true, news: &news };
-    assert_eq!(alone.ask(0, &mut rng).len(), 2, "without any nearby, others are asked");
+    let alone = StartingVm { me: &me, others: fleet[1..3].iter().collect(), is_list_loaded: true, news: &news };
+    assert_eq!(alone.peers_to_ask(0, &mut rng).len(), 2, "without any nearby, others are asked");
 }
 
 #[test]
@@ -114,7 +115,8 @@
     const SERVING: u64 = 20;
     let address = |host: u8| SocketAddr::from(([10, 0, 0, host], 80));
     let first = address(0);
-    let mut givers: BTreeMap<SocketAddr, Handing> = (0..=60).map(|host| (address(host), Handing::default())).collect();
+    let mut givers: BTreeMap<SocketAddr, TransferLimiter> =
+        (0..=60).map(|host| (address(host), TransferLimiter::default())).collect();
     let mut waiting: Vec<(SocketAddr, SocketAddr)> = (1..=60).map(|host| (address(host), first)).collect();
     let mut being_served: Vec<(u64, SocketAddr, SocketAddr)> = Vec::new();
     let mut by_first = 0;
@@ -123,16 +125,16 @@
         let (ended, serving) = being_served.into_iter().partition(|(at, _, _)| *at <= now);
         being_served = serving;
         for (_, taker, giver) in ended {
-            givers.get_mut(&giver).unwrap().end(1, Some(taker));
+            givers.get_mut(&giver).unwrap().finish(1, Some(taker));
         }
         for (taker, asked) in std::mem::take(&mut waiting) {
             match givers.get_mut(&asked).unwrap().admit(1) {
-                Admission::Serve => {
+                TransferDecision::Serve => {
                     by_first += usize::from(asked == first);
                     being_served.push((now + SERVING, taker, asked));
                 },
-                Admission::Instead(other) => waiting.push((taker, other)),
-                Admission::Later => waiting.push((taker, asked)),
+                TransferDecision::Redirect(other) => waiting.push((taker, other)),
+                TransferDecision::Wait => waiting.push((taker, asked)),
             }
         }
         now += 1;
@@ -142,25 +144,25 @@
 }
 
 /// A VM that only knows the one that greeted it.
-fn greeted<'a>(me: &'a Peer, by: &'a Peer, news: &'a ReadingNews) -> Starting<'a> {
-    Starting { me, others: vec![by], is_listed: false, news }
+fn greeted<'a>(me: &'a Peer, by: &'a Peer, news: &'a StoreReadReports) -> StartingVm<'a> {
+    StartingVm { me, others: vec![by], is_list_loaded: false, news }
 }
 
 #[test]
 fn who_reads_first_is_decided_by_the_whole_list_and_told_to_those_that_know_little() {
     let fleet = fleet();
     let all: Vec<&Peer> = fleet.iter().collect();
-    let first = FirstReaders::among(&all);
+    let first = FirstReaders::select(&all);
     let began = SystemTime::UNIX_EPOCH;
     let mut reads = 0;
     for me in &fleet[1..] {
-        let mut news = ReadingNews::default();
-        news.greet(first.includes(me), first.of(&me.failure_domain).to_vec());
+        let mut news = StoreReadReports::default();
+        news.apply_greeting(first.contains(me), first.in_domain(&me.failure_domain).to_vec());
         let starting = greeted(me, &fleet[0], &news);
         let step = starting.next_step(began, began);
         reads += usize::from(step == NextStep::ReadStore);
-        let asked = starting.ask(0, &mut ChaCha8Rng::seed_from_u64(1));
-        assert!(asked.iter().all(|to| first.of(&me.failure_domain).contains(to)), "{asked:?}");
+        let asked = starting.peers_to_ask(0, &mut ChaCha8Rng::seed_from_u64(1));
+        assert!(asked.iter().all(|to| first.in_domain(&me.failure_domain).contains(to)), "{asked:?}");
     }
     assert!((4 * DOMAINS - 1..=4 * DOMAINS).contains(&reads), "{reads} of {VMS} read the store at once");
 }
@@ -169,21 +171,21 @@
 fn a_vm_waits_for_as_long_as_another_one_reads_and_then_looks_at_the_list() {
     let fleet = fleet();
     let began = SystemTime::UNIX_EPOCH;
-    let mut news = ReadingNews::default();
+    let mut news = StoreReadReports::default();
     for seconds in 0..3 {
         let at = began + Duration::from_secs(seconds);
-        news.hear(at);
-        assert_eq!(greeted(&fleet[1], &fleet[0], &news).next_step(began, at + ROUND), NextStep::Ask);
+        news.record_read(at);
+        assert_eq!(greeted(&fleet[1], &fleet[0], &news).next_step(began, at + ROUND_INTERVAL), NextStep::Ask);
     }
     let later = began + Duration::from_secs(3);
-    assert_eq!(greeted(&fleet[1], &fleet[0], &news).next_step(began, later), NextStep::ReadList);
+    assert_eq!(greeted(&fleet[1], &fleet[0], &news).next_step(began, later), NextStep::ReadVmList);
 }
 
 #[test]
 fn twice_the_vms_of_a_failure_domain_read_the_store_no_more_often_at_a_start_of_all() {
     let of = |vms: usize| {
         let fleet: Vec<Peer> = (0..vms).map(|index| Peer { vm: format!("vm-{index}"), ..fleet()[0].clone() }).collect();
-        FirstReaders::among(&fleet.iter().collect::<Vec<_>>()).of("d0").len()
+        FirstReaders::select(&fleet.iter().collect::<Vec<_>>()).in_domain("d0").len()
     };
     assert_eq!([of(10), of(50), of(164), of(334)], [1, 4, 4, 4]);
 }
--- a/havengrade_core/tests/quarantine.rs
+++ b/havengrade_core/tests/quarantine.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, SystemTime};
 
-use havengrade_core::quarantine::{KeptHold, Quarantine, QuarantineChange, Standing, next_trial};
+use havengrade_core::quarantine::{Quarantine, QuarantineChange, QuarantineEntry, QuarantineStatus, next_trial};
 
 const V1: u64 = 1;
 const V2: u64 = 2;
@@ -15,22 +15,22 @@
 
 /// An endpoint ends under requests, each with the milliseconds for which it ran.
 fn crash(quarantine: &mut Quarantine, endpoint: &str, requests: &[(u64, u64)], millis: u64) {
-    for (mark, ran_for) in requests {
-        quarantine.note_broken((*mark, V1), endpoint, Duration::from_millis(*ran_for), at(millis));
+    for (fingerprint, ran_for) in requests {
+        quarantine.record_broken_attempt((*fingerprint, V1), endpoint, Duration::from_millis(*ran_for), at(millis));
     }
-    quarantine.note_ended(endpoint, at(millis + 2));
+    quarantine.record_endpoint_exit(endpoint, at(millis + 2));
 }
 
 fn judged(quarantine: &mut Quarantine, millis: u64) -> Vec<u64> {
-    let changes = quarantine.judge(at(millis)).into_iter();
-    let mut marks: Vec<u64> = changes
+    let changes = quarantine.quarantine_suspects(at(millis)).into_iter();
+    let mut fingerprints: Vec<u64> = changes
         .filter_map(|change| match change {
-            QuarantineChange::Judged { mark, .. } => Some(mark),
+            QuarantineChange::Quarantined { fingerprint, .. } => Some(fingerprint),
             _ => None,
         })
         .collect();
-    marks.sort_unstable();
-    marks
+    fingerprints.sort_unstable();
+    fingerprints
 }
 
 /// A request that was held back for three crashes, the last one at 2 s.
@@ -40,7 +40,7 @@
         crash(&mut quarantine, endpoint, &[(7, 60)], millis);
     }
     assert_eq!(judged(&mut quarantine, 2500), NONE, "what others saw may still come in");
-    assert!(matches!(quarantine.standing(7, at(2500)), Standing::Awaited { .. }));
+    assert!(matches!(quarantine.status(7, at(2500)), QuarantineStatus::Pending { .. }));
     assert_eq!(judged(&mut quarantine, 3100), [7]);
     quarantine
 }
@@ -49,11 +49,11 @@
 fn lost_connections_to_endpoints_that_are_there_say_nothing() {
     let mut quarantine = Quarantine::default();
     for millis in (0..20_000).step_by(1000) {
-        quarantine.note_broken((7, V1), "e1", Duration::ZERO, at(millis));
-        quarantine.note_there("e1");
+        quarantine.record_broken_attempt((7, V1), "e1", Duration::ZERO, at(millis));
+        quarantine.record_endpoint_alive("e1");
     }
     assert_eq!(judged(&mut quarantine, 30_000), NONE);
-    assert!(!quarantine.is_watching());
+    assert!(!quarantine.needs_fingerprints());
 }
 
 /// Seen: a request that had ended three endpoints was sent six times more, since its first ends were not known to be its own. Cause: its model doubted
@@ -62,7 +62,7 @@
 fn a_try_that_was_given_up_just_before_its_endpoint_ended_was_at_the_crash() {
     let mut quarantine = Quarantine::default();
     let left_for = |quarantine: &mut Quarantine, endpoint: &str, left: u64, ended: u64| {
-        quarantine.note_left((7, V1), endpoint, Duration::from_millis(30), at(left));
+        quarantine.record_abandoned_attempt((7, V1), endpoint, Duration::from_millis(30), at(left));
         crash(quarantine, endpoint, &[(100 + ended, 500)], ended);
     };
     left_for(&mut quarantine, "e1", 0, 70);
@@ -79,9 +79,9 @@
     let (mut here, mut other) = (Quarantine::default(), Quarantine::default());
     for (index, endpoint) in ["e1", "e2", "e3"].into_iter().enumerate() {
         let left = 1000 * index as u64;
-        here.note_left((7, V1), endpoint, Duration::from_millis(30), at(left));
+        here.record_abandoned_attempt((7, V1), endpoint, Duration::from_millis(30), at(left));
         crash(&mut other, endpoint, &[(100 + left, 500)], left + 70);
-        here.hear(other.tell(at(left + 90)), at(left + 100));
+        here.merge_report(other.next_report(at(left + 90)), at(left + 100));
     }
     assert_eq!(judged(&mut here, 5000), [7]);
 }
@@ -91,7 +91,7 @@
     let mut quarantine = Quarantine::default();
     for endpoint in ["e1", "e2"] {
         crash(&mut quarantine, endpoint, &[(7, 60), (7, 40), (7, 10)], 0);
-        quarantine.note_broken((7, V1), endpoint, Duration::ZERO, at(300));
+        quarantine.record_broken_attempt((7, V1), endpoint, Duration::ZERO, at(300));
     }
     assert_eq!(judged(&mut quarantine, 5000), NONE);
     crash(&mut quarantine, "e1", &[(7, 60)], 4000);
@@ -111,8 +111,13 @@
 #[test]
 fn several_causes_are_all_held() {
     let mut quarantine = Quarantine::default();
-    for (index, mark) in [7, 8, 7, 8, 8, 7].into_iter().enumerate() {
-        crash(&mut quarantine, &format!("e{index}"), &[(mark, 60), (1, 300 + 100 * index as u64)], 200 * index as u64);
+    for (index, fingerprint) in [7, 8, 7, 8, 8, 7].into_iter().enumerate() {
+        crash(
+            &mut quarantine,
+            &format!("e{index}"),
+            &[(fingerprint, 60), (1, 300 + 100 * index as u64)],
+            200 * index as u64,
+        );
     }
     assert_eq!(judged(&mut quarantine, 3000), [7, 8]);
 }
@@ -135,7 +140,7 @@
 #[test]
 fn a_request_that_is_answered_is_innocent_until_it_is_at_many_more_crashes() {
     let mut quarantine = Quarantine::default();
-    quarantine.note_answered((1, V1), at(0));
+    quarantine.record_answer((1, V1), at(0));
     for index in 0..11 {
         crash(&mut quarantine, &format!("e{index}"), &[(1, 60)], 1000 + index);
     }
@@ -147,54 +152,56 @@
 #[test]
 fn an_answer_of_the_version_before_says_nothing_on_the_new_one() {
     let mut quarantine = Quarantine::default();
-    quarantine.note_answered((7, V2), at(0));
+    quarantine.record_answer((7, V2), at(0));
     for (endpoint, millis) in [("e1", 1000), ("e2", 2000), ("e3", 3000)] {
         crash(&mut quarantine, endpoint, &[(7, 60)], millis);
-        quarantine.note_answered((7, V2), at(millis + 500));
+        quarantine.record_answer((7, V2), at(millis + 500));
     }
     assert_eq!(judged(&mut quarantine, 5000), [7]);
-    assert_eq!(quarantine.note_answered((7, V2), at(6000)), None);
-    assert_eq!(quarantine.note_answered((7, V1), at(7000)), Some(QuarantineChange::Released { mark: 7 }));
+    assert_eq!(quarantine.record_answer((7, V2), at(6000)), None);
+    assert_eq!(quarantine.record_answer((7, V1), at(7000)), Some(QuarantineChange::Released { fingerprint: 7 }));
 }
 
 #[test]
 fn a_request_is_tried_once_more_and_is_free_when_it_is_answered() {
     let mut quarantine = held();
-    assert!(matches!(quarantine.standing(7, at(4000)), Standing::Awaited { .. }));
-    let Standing::OnTrial(hold) = quarantine.standing(7, at(5200)) else { panic!("no trial") };
+    assert!(matches!(quarantine.status(7, at(4000)), QuarantineStatus::Pending { .. }));
+    let QuarantineStatus::TrialDue(hold) = quarantine.status(7, at(5200)) else { panic!("no trial") };
     let claimed = next_trial(&[], &hold, at(5200)).unwrap();
-    quarantine.note_trials(7, claimed.trials, claimed.tried);
-    assert!(matches!(quarantine.standing(7, at(5300)), Standing::Awaited { .. }), "it is being tried");
-    assert!(matches!(quarantine.standing(7, at(9000)), Standing::Awaited { known_in } if known_in.as_secs() > 500));
-    quarantine.note_answered((7, V1), at(9100));
-    assert_eq!(quarantine.standing(7, at(9200)), Standing::Free);
+    quarantine.record_trials(7, claimed.trials, claimed.last_trial);
+    assert!(matches!(quarantine.status(7, at(5300)), QuarantineStatus::Pending { .. }), "it is being last_trial");
+    assert!(
+        matches!(quarantine.status(7, at(9000)), QuarantineStatus::Pending { decided_in } if decided_in.as_secs() > 500)
+    );
+    quarantine.record_answer((7, V1), at(9100));
+    assert_eq!(quarantine.status(7, at(9200)), QuarantineStatus::Free);
 }
 
 #[test]
 fn no_trial_begins_while_endpoints_end() {
     let mut quarantine = held();
     crash(&mut quarantine, "e9", &[(8, 60)], 5000);
-    assert!(matches!(quarantine.standing(7, at(5200)), Standing::Awaited { .. }));
-    assert!(matches!(quarantine.standing(7, at(6600)), Standing::OnTrial(_)));
+    assert!(matches!(quarantine.status(7, at(5200)), QuarantineStatus::Pending { .. }));
+    assert!(matches!(quarantine.status(7, at(6600)), QuarantineStatus::TrialDue(_)));
 }
 
 #[test]
 fn one_trial_runs_at_a_time_whichever_request_it_is_of() {
-    let hold = |mark| KeptHold {
-        mark,
+    let hold = |fingerprint| QuarantineEntry {
+        fingerprint,
         version: V1,
         first_crash: at(0),
         since: at(0),
         until: at(90_000),
         trials: 0,
-        tried: None,
+        last_trial: None,
     };
     let first = next_trial(&[hold(7), hold(8)], &hold(7), at(5000)).unwrap();
-    assert_eq!((first.trials, first.tried), (1, Some(at(5000))));
+    assert_eq!((first.trials, first.last_trial), (1, Some(at(5000))));
     assert_eq!(next_trial(&[first, hold(8)], &hold(8), at(6900)), None);
     assert_eq!(next_trial(&[first, hold(8)], &hold(7), at(9000)), None, "its first trial was claimed");
     assert!(next_trial(&[first, hold(8)], &hold(8), at(7100)).is_some());
-    let from_a_wrong_clock = KeptHold { tried: Some(at(60_000)), ..first };
+    let from_a_wrong_clock = QuarantineEntry { last_trial: Some(at(60_000)), ..first };
     assert!(next_trial(&[from_a_wrong_clock], &hold(8), at(7100)).is_some());
 }
 
@@ -204,11 +211,11 @@
     for (index, vm) in vms.iter_mut().enumerate() {
         crash(vm, &format!("e{index}"), &[(7, 60)], 100 * index as u64);
     }
-    let news: Vec<_> = vms.iter_mut().map(|vm| vm.tell(at(400))).collect();
+    let news: Vec<_> = vms.iter_mut().map(|vm| vm.next_report(at(400))).collect();
     for (index, vm) in vms.iter_mut().enumerate() {
         for (from, news) in news.iter().enumerate().filter(|(from, _)| *from != index) {
-            vm.hear(news.clone(), at(410 + 20 * from as u64));
-            vm.hear(news.clone(), at(460 + 20 * from as u64));
+            vm.merge_report(news.clone(), at(410 + 20 * from as u64));
+            vm.merge_report(news.clone(), at(460 + 20 * from as u64));
         }
         assert_eq!(judged(vm, 1600), [7]);
     }
@@ -217,12 +224,12 @@
 #[test]
 fn an_answer_that_one_vm_saw_speaks_for_the_request_everywhere() {
     let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
-    there.note_answered((1, V1), at(0));
+    there.record_answer((1, V1), at(0));
     for (endpoint, millis) in [("e1", 1000), ("e2", 1100), ("e3", 1200)] {
         crash(&mut here, endpoint, &[(1, 60)], millis);
     }
-    there.hear(here.tell(at(1300)), at(1310));
-    here.hear(there.tell(at(1400)), at(1410));
+    there.merge_report(here.next_report(at(1300)), at(1310));
+    here.merge_report(there.next_report(at(1400)), at(1410));
     assert_eq!(judged(&mut here, 2500), NONE);
     assert_eq!(judged(&mut there, 2500), NONE);
 }
@@ -231,11 +238,11 @@
 fn a_vm_that_starts_learns_what_is_held_and_what_was_seen() {
     let mut here = held();
     crash(&mut here, "e8", &[(9, 60)], 3200);
-    assert_eq!(here.hand_on(at(3300)), None, "it does not know itself what was held before its start");
-    here.set_read();
+    assert_eq!(here.full_report(at(3300)), None, "it does not know itself what was held before its start");
+    here.set_loaded();
     let mut started = Quarantine::default();
-    let changes = started.hear(here.hand_on(at(3300)).unwrap(), at(3310));
-    assert_eq!(changes, [QuarantineChange::Learned { mark: 7 }]);
+    let changes = started.merge_report(here.full_report(at(3300)).unwrap(), at(3310));
+    assert_eq!(changes, [QuarantineChange::Learned { fingerprint: 7 }]);
     for (endpoint, millis) in [("e6", 3400), ("e7", 3500)] {
         crash(&mut started, endpoint, &[(9, 60)], millis);
     }
@@ -245,17 +252,19 @@
 #[test]
 fn what_is_kept_outlasts_all_vms_with_its_trials() {
     let mut here = held();
-    let kept = here.unkept();
-    here.set_kept(7);
-    assert!(here.unkept().is_empty());
-    let tried = KeptHold { trials: 2, ..kept[0] };
+    let kept = here.unstored();
+    here.set_stored(7);
+    assert!(here.unstored().is_empty());
+    let last_trial = QuarantineEntry { trials: 2, ..kept[0] };
     let mut started = Quarantine::default();
-    started.take_kept(&[tried], at(20_000));
-    assert!(matches!(started.standing(7, at(20_000)), Standing::Held { back_after } if back_after.as_secs() > 3600));
-    assert!(started.unkept().is_empty());
+    started.merge_stored(&[last_trial], at(20_000));
+    assert!(
+        matches!(started.status(7, at(20_000)), QuarantineStatus::Quarantined { retry_after } if retry_after.as_secs() > 3600)
+    );
+    assert!(started.unstored().is_empty());
     let mut later = Quarantine::default();
-    later.take_kept(&[tried], at(25 * 3600 * 1000));
-    assert_eq!(later.standing(7, at(25 * 3600 * 1000)), Standing::Free);
+    later.merge_stored(&[last_trial], at(25 * 3600 * 1000));
+    assert_eq!(later.status(7, at(25 * 3600 * 1000)), QuarantineStatus::Free);
 }
 
 #[test]
@@ -266,15 +275,15 @@
     }
     let mut there = Quarantine::default();
     let mut reports = 0;
-    while here.has_news() {
-        let news = here.tell(at(100));
+    while here.has_unreported() {
+        let news = here.next_report(at(100));
         assert!(news.crashes.len() <= 16, "{} in a report", news.crashes.len());
-        there.hear(news, at(110));
+        there.merge_report(news, at(110));
         reports += 1;
     }
     assert!(reports <= 200 / 16 + 1, "{reports}");
-    for (mark, endpoint) in [(5, "f1"), (5, "f2"), (150, "f3"), (150, "f4")] {
-        crash(&mut there, endpoint, &[(mark, 60)], 500);
+    for (fingerprint, endpoint) in [(5, "f1"), (5, "f2"), (150, "f3"), (150, "f4")] {
+        crash(&mut there, endpoint, &[(fingerprint, 60)], 500);
     }
     assert_eq!(judged(&mut there, 3000), [5, 150]);
 }
@@ -289,8 +298,8 @@
         }
     }
     quarantine.prune(at(10_000));
-    quarantine.set_read();
-    let handed = quarantine.hand_on(at(10_000)).unwrap();
+    quarantine.set_loaded();
+    let handed = quarantine.full_report(at(10_000)).unwrap();
     assert_eq!(handed.crashes.len(), 96);
     assert!(handed.crashes.iter().all(|crash| crash.age < Duration::from_millis(200)), "the newest are kept");
 }
--- a/havengrade_dev/src/stand_in/engine.rs
+++ b/havengrade_dev/src/stand_in/engine.rs
@@ -10,7 +10,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use futures::stream;
-use havengrade_core::{ids::VersionId, secret::spread};
+use havengrade_core::{ids::VersionId, secret::uniform_hash};
 use havengrade_router::shared::lock;
 use http_body_util::{BodyExt as _, StreamBody};
 use hyper::{Method, Response, StatusCode, body::Frame};
@@ -55,8 +55,8 @@
 pub fn answer_tokens(version: &str, prompt: &str) -> Vec<String> {
     const SHORTEST: u64 = 8;
     const SPREAD: u64 = 24;
-    let count = SHORTEST + spread(&[version, prompt]) % SPREAD;
-    (0..count).map(|index| format!("{version}-{:04x} ", spread(&[prompt, &index.to_string()]) % 0xffff)).collect()
+    let count = SHORTEST + uniform_hash(&[version, prompt]) % SPREAD;
+    (0..count).map(|index| format!("{version}-{:04x} ", uniform_hash(&[prompt, &index.to_string()]) % 0xffff)).collect()
 }
 
 /// A whole answer, the same for the same version and prompt.
--- a/havengrade_dev/src/stand_in/memory_store.rs
+++ b/havengrade_dev/src/stand_in/memory_store.rs
@@ -8,9 +8,9 @@
 
 use async_trait::async_trait;
 use havengrade_core::{
-    mark::RequestMark,
+    fingerprint::RequestFingerprint,
     published::{directory::DirectoryEvent, peers::Peer, rollout::RolloutStatus},
-    quarantine::{KeptHold, next_trial},
+    quarantine::{QuarantineEntry, next_trial},
 };
 use havengrade_router::{
     published::{
@@ -38,7 +38,7 @@
     endpoints: Vec<DirectoryEvent>,
     statuses: Vec<RolloutStatus>,
     versions: BTreeMap<String, KnownVersion>,
-    held: BTreeMap<RequestMark, KeptHold>,
+    held: BTreeMap<RequestFingerprint, QuarantineEntry>,
     vms: BTreeMap<String, Peer>,
     calls: u64,
     /// Time that each answer to a read takes.
@@ -130,8 +130,8 @@
     }
 
     /// Enters a request that is held back, as a VM did that is gone.
-    pub fn hold(&self, hold: KeptHold) {
-        lock(&self.kept).held.insert(hold.mark, hold);
+    pub fn hold(&self, hold: QuarantineEntry) {
+        lock(&self.kept).held.insert(hold.fingerprint, hold);
     }
 
     /// Names of the VMs on the kept list.
@@ -285,29 +285,33 @@
 
 #[async_trait]
 impl QuarantineBook for MemoryFeed {
-    async fn read(&self) -> Result<Vec<KeptHold>, StoreError> {
+    async fn read(&self) -> Result<Vec<QuarantineEntry>, StoreError> {
         self.call().await?;
         Ok(lock(&self.store.kept).held.values().copied().collect())
     }
 
-    async fn keep(&self, hold: &KeptHold) -> Result<(), StoreError> {
+    async fn keep(&self, hold: &QuarantineEntry) -> Result<(), StoreError> {
         self.call().await?;
-        lock(&self.store.kept).held.entry(hold.mark).or_insert(*hold);
+        lock(&self.store.kept).held.entry(hold.fingerprint).or_insert(*hold);
         Ok(())
     }
 
-    async fn release(&self, mark: RequestMark) -> Result<(), StoreError> {
+    async fn release(&self, mark: RequestFingerprint) -> Result<(), StoreError> {
         self.call().await?;
         lock(&self.store.kept).held.remove(&mark);
         Ok(())
     }
 
-    async fn claim_trial(&self, hold: &KeptHold, now: SystemTime) -> Result<Option<KeptHold>, StoreError> {
+    async fn claim_trial(
+        &self,
+        hold: &QuarantineEntry,
+        now: SystemTime,
+    ) -> Result<Option<QuarantineEntry>, StoreError> {
         self.call().await?;
         let mut kept = lock(&self.store.kept);
-        let known: Vec<KeptHold> = kept.held.values().copied().collect();
+        let known: Vec<QuarantineEntry> = kept.held.values().copied().collect();
         let next = next_trial(&known, hold, now);
-        kept.held.extend(next.map(|next| (next.mark, next)));
+        kept.held.extend(next.map(|next| (next.fingerprint, next)));
         Ok(next)
     }
 }
--- a/havengrade_dev/src/stand_in/rating.rs
+++ b/havengrade_dev/src/stand_in/rating.rs
@@ -5,7 +5,7 @@
 use async_trait::async_trait;
 use havengrade_core::{
     ids::{Permille, VersionId},
-    secret::spread,
+    secret::uniform_hash,
 };
 use havengrade_router::{platform::RatingRequest, shared::lock};
 use hyper::StatusCode;
@@ -30,7 +30,7 @@
 
     fn rate(&self, request: &RatingRequest) -> u64 {
         let quality = lock(&self.qualities).get(&request.version).copied().unwrap_or_default();
-        let offset = spread(&[&request.prompt, &request.version]) % (2 * SPREAD + 1);
+        let offset = uniform_hash(&[&request.prompt, &request.version]) % (2 * SPREAD + 1);
         (u64::from(quality) + offset).saturating_sub(SPREAD).min(1000)
     }
 }
--- a/havengrade_dev/tests/published_crashing_request.rs
+++ b/havengrade_dev/tests/published_crashing_request.rs
@@ -18,9 +18,9 @@
 };
 
 use havengrade_core::{
-    mark::mark,
+    fingerprint::fingerprint,
     published::route::{AnswerShape, PublishedRoute, Repeat},
-    quarantine::{KeptHold, QuarantineNews, ToldHold},
+    quarantine::{QuarantineEntry, QuarantineReport, ReportedQuarantineEntry},
 };
 use havengrade_dev::{
     fabric::{Fabric as _, Host, Pipes},
@@ -429,25 +429,25 @@
 
 /// What a request to `/read/` with this body is known by.
 fn mark_of(body: &str) -> u64 {
-    mark(&[b"POST", b"office.example", b"/read/", b"gate", body.as_bytes()])
+    fingerprint(&[b"POST", b"office.example", b"/read/", b"gate", body.as_bytes()])
 }
 
 /// Lets a VM hear that an innocent request is held back, whose trial is due.
 fn hold_at(fleet: &Fleet, vm: usize, body: &str) {
-    let held = ToldHold {
-        mark: mark_of(body),
-        version: mark(&[b"v1"]),
-        age: Duration::from_secs(5),
-        held_for: Duration::from_secs(3),
-        left: Duration::from_secs(3600),
+    let held = ReportedQuarantineEntry {
+        fingerprint: mark_of(body),
+        version: fingerprint(&[b"v1"]),
+        first_crash_age: Duration::from_secs(5),
+        quarantined_for: Duration::from_secs(3),
+        remaining: Duration::from_secs(3600),
         trials: 0,
-        tried_ago: None,
-        is_kept: false,
+        last_trial_age: None,
+        is_stored: false,
     };
     let routers = fleet.routers.lock().unwrap();
     let shared = &routers[vm].1.context().shared;
-    let news = QuarantineNews { held: vec![held], ..QuarantineNews::default() };
-    assert_eq!(shared.quarantine().hear(news, shared.clock.now()).len(), 1);
+    let news = QuarantineReport { held: vec![held], ..QuarantineReport::default() };
+    assert_eq!(shared.quarantine().merge_report(news, shared.clock.now()).len(), 1);
 }
 
 /// Seen: by reading the code. An innocent request that its trial had freed stayed on the list that outlasts all VMs, so that a start of all of
@@ -476,14 +476,14 @@
     let (fleet, _endpoints) = Fleet::start(Day { vms: 1, ..DAY }).await;
     let now = fleet.routers.lock().unwrap()[0].1.context().shared.clock.now();
     hold_at(&fleet, 0, "same 15");
-    fleet.store.hold(KeptHold {
-        mark: mark_of("same 15"),
-        version: mark(&[b"v1"]),
+    fleet.store.hold(QuarantineEntry {
+        fingerprint: mark_of("same 15"),
+        version: fingerprint(&[b"v1"]),
         first_crash: now - Duration::from_secs(65),
         since: now - Duration::from_secs(63),
         until: now + Duration::from_secs(3600),
         trials: 1,
-        tried: Some(now - Duration::from_secs(60)),
+        last_trial: Some(now - Duration::from_secs(60)),
     });
     let begin = Instant::now();
     let answer = fleet.ask(fleet.host(0).unwrap(), "/read/", "", "same 15").await;
--- a/havengrade_dev/tests/published_fleet.rs
+++ b/havengrade_dev/tests/published_fleet.rs
@@ -503,7 +503,7 @@
         most_readers = most_readers.max(bench.readers().len());
         let fewest = bench.routers.iter().filter_map(|router| {
             let peers = router.context().shared.peers();
-            peers.is_listed().then(|| peers.len())
+            peers.is_list_loaded().then(|| peers.len())
         });
         let fewest = fewest.min();
         assert!(fewest.is_none_or(|fewest| fewest + 1 == usize::from(vms)), "a VM takes {fewest:?} others for all");
--- a/havengrade_router/src/published/configured.rs
+++ b/havengrade_router/src/published/configured.rs
@@ -10,7 +10,7 @@
 use async_trait::async_trait;
 use havengrade_core::{
     config::Config,
-    mark::RequestMark,
+    fingerprint::RequestFingerprint,
     membership::ListedVm,
     published::{
         directory::DirectoryEvent,
@@ -19,7 +19,7 @@
         rollout::RolloutStatus,
         route::CallerLimits,
     },
-    quarantine::{KeptHold, next_trial},
+    quarantine::{QuarantineEntry, next_trial},
     secret,
 };
 use hyper::{HeaderMap, StatusCode};
@@ -181,20 +181,24 @@
 
 #[async_trait]
 impl QuarantineBook for ToldOnly {
-    async fn read(&self) -> Result<Vec<KeptHold>, StoreError> {
+    async fn read(&self) -> Result<Vec<QuarantineEntry>, StoreError> {
         Ok(Vec::new())
     }
 
-    async fn keep(&self, _hold: &KeptHold) -> Result<(), StoreError> {
+    async fn keep(&self, _hold: &QuarantineEntry) -> Result<(), StoreError> {
         Ok(())
     }
 
-    async fn release(&self, _mark: RequestMark) -> Result<(), StoreError> {
+    async fn release(&self, _mark: RequestFingerprint) -> Result<(), StoreError> {
         Ok(())
     }
 
     /// Others are told of the trial; two VMs that begin one at the same moment both make it.
-    async fn claim_trial(&self, hold: &KeptHold, now: SystemTime) -> Result<Option<KeptHold>, StoreError> {
+    async fn claim_trial(
+        &self,
+        hold: &QuarantineEntry,
+        now: SystemTime,
+    ) -> Result<Option<QuarantineEntry>, StoreError> {
         Ok(next_trial(&[*hold], hold, now))
     }
 }
--- a/havengrade_router/src/published/context.rs
+++ b/havengrade_router/src/published/context.rs
@@ -15,13 +15,13 @@
     published::{
         directory::ListedEndpoint,
         emptied_domains::EmptiedDomains,
-        handing::Handing,
         peers::{Peer, Peers},
         rollout::{RolloutBounds, Rollouts},
         route::RouteTable,
         send_limits::SendLimits,
         sent_prefixes::SentPrefixes,
-        start::ReadingNews,
+        startup::StoreReadReports,
+        state_transfer::TransferLimiter,
     },
     quarantine::Quarantine,
 };
@@ -85,7 +85,7 @@
     /// What is handed on to other VMs.
     pub(super) written: Mutex<WrittenParts>,
     /// To whom it is handed on.
-    pub(super) handing: Mutex<Handing>,
+    pub(super) handing: Mutex<TransferLimiter>,
     /// Tells those who wait that another VM became known.
     heard: Notify,
     /// Requests in progress.
@@ -98,7 +98,7 @@
     drain_since: AtomicU64,
     rollouts: Mutex<Rollouts>,
     peers: Mutex<Peers>,
-    reading_news: Mutex<ReadingNews>,
+    reading_news: Mutex<StoreReadReports>,
     /// The retries that this VM may still make.
     pub retries: Retries,
     quarantine: Mutex<Quarantine>,
@@ -328,13 +328,13 @@
     }
 
     /// What others told this VM at its start of who reads the store, locked for a moment.
-    pub fn reading_news(&self) -> MutexGuard<'_, ReadingNews> {
+    pub fn reading_news(&self) -> MutexGuard<'_, StoreReadReports> {
         lock(&self.reading_news)
     }
 
     /// When this VM or another one surely was reading the store for those that start, if any was.
     pub fn store_read_at(&self, now: SystemTime) -> Option<SystemTime> {
-        if self.store.is_reading(now) { Some(now) } else { self.reading_news().read_at() }
+        if self.store.is_reading(now) { Some(now) } else { self.reading_news().last_read() }
     }
 
     /// The operators' bounds on roll-outs.
--- a/havengrade_router/src/published/follow.rs
+++ b/havengrade_router/src/published/follow.rs
@@ -11,8 +11,8 @@
 use async_trait::async_trait;
 use havengrade_core::published::{
     directory::DirectoryEvent,
-    relay::{Freshness, place_among, reading_chance, turns},
-    start::retry_after,
+    relay::{Freshness, read_probability, turn_delay, turn_position},
+    startup::retry_delay,
 };
 use ractor::{Actor, ActorCell, ActorProcessingErr, ActorRef};
 use rand::RngExt as _;
@@ -215,12 +215,12 @@
             return true;
         }
         let vms = self.cx.shared.peers().len() + 1;
-        self.cx.shared.rng().random::<f64>() < reading_chance(vms)
+        self.cx.shared.rng().random::<f64>() < read_probability(vms)
     }
 
     fn is_old(&self, now: SystemTime) -> bool {
         // Where a VM stands is worked out only where it matters.
-        self.freshness.must_read(0, now) && self.freshness.must_read(place(&self.cx), now)
+        self.freshness.must_read_store(0, now) && self.freshness.must_read_store(place(&self.cx), now)
     }
 
     /// Time until the next look.
@@ -245,13 +245,13 @@
                 self.cx.shared.store.pause(None);
                 self.is_hurried = false;
                 // What may be missing does not make the view any newer.
-                let at = self.feed.known_at(asked).unwrap_or(self.freshness.viewed);
-                if self.freshness.is_store_away_for_others(self.cx.shared.clock.now())
+                let at = self.feed.known_at(asked).unwrap_or(self.freshness.confirmed);
+                if self.freshness.is_store_unreachable_for_peers(self.cx.shared.clock.now())
                     && !self.cx.shared.store.is_reader()
                 {
                     self.cx.shared.store.set_volunteer(true);
                 }
-                self.freshness.viewed = at;
+                self.freshness.confirmed = at;
                 let position = self.feed.position().unwrap_or_default();
                 self.taker.take(&self.cx, events, position, at);
             },
@@ -276,10 +276,12 @@
     fn pause_after(&self, last: Option<Duration>) -> Duration {
         if !self.cx.shared.knows_routes() {
             let waited = self.cx.shared.running_for(self.cx.shared.clock.now());
-            return retry_after(waited, &mut *self.cx.shared.rng());
+            return retry_delay(waited, &mut *self.cx.shared.rng());
         }
-        if self.freshness.is_store_away_for_others(self.cx.shared.clock.now()) && !self.cx.shared.store.is_reader() {
-            return turns(near(&self.cx) + 1).max(OTHER_PAUSE);
+        if self.freshness.is_store_unreachable_for_peers(self.cx.shared.clock.now())
+            && !self.cx.shared.store.is_reader()
+        {
+            return turn_delay(near(&self.cx) + 1).max(OTHER_PAUSE);
         }
         let longest = if self.cx.shared.store.is_reader() { READER_PAUSE } else { OTHER_PAUSE };
         let spread = 1.0 + PAUSE_SPREAD * self.cx.shared.rng().random::<f64>();
@@ -295,7 +297,7 @@
         }
         self.is_hurried &= relayed.from.is_some();
         self.feed.advance(relayed.position);
-        self.freshness.hear(relayed.at, self.cx.shared.clock.now());
+        self.freshness.record_answer(relayed.at, self.cx.shared.clock.now());
         self.taker.take(&self.cx, relayed.events, relayed.position, relayed.at);
     }
 }
@@ -305,7 +307,7 @@
     let vm = &cx.shared.settings.vm;
     let peers = cx.shared.peers();
     let near = peers.all().filter(|peer| peer.failure_domain == vm.failure_domain);
-    place_among(near.map(|peer| &peer.vm), &vm.id)
+    turn_position(near.map(|peer| &peer.vm), &vm.id)
 }
 
 /// How many other VMs stand in the own failure domain.
--- a/havengrade_router/src/published/hand_on.rs
+++ b/havengrade_router/src/published/hand_on.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use futures::{SinkExt as _, StreamExt as _};
-use havengrade_core::published::handing::Admission;
+use havengrade_core::published::state_transfer::TransferDecision;
 use havengrade_rpc::{
     Frames, RpcError, frames,
     reports::{StateHead, StatePart, StateQuestion},
@@ -92,9 +92,9 @@
     }
     let (admission, revision) = admit(cx).await;
     match admission {
-        Admission::Serve => {},
-        Admission::Later => return BusySnafu.fail(),
-        Admission::Instead(other) => {
+        TransferDecision::Serve => {},
+        TransferDecision::Wait => return BusySnafu.fail(),
+        TransferDecision::Redirect(other) => {
             let head = StateHead { ask_instead: Some(other.to_string()), ..empty_head() };
             return send_head(&mut frames, &head).await;
         },
@@ -102,22 +102,22 @@
     let served = hand(cx, &question, &mut frames).await;
     let taker: Option<SocketAddr> = question.address.parse().ok();
     let is_whole = matches!(served, Ok(true));
-    lock(&cx.shared.handing).end(revision, taker.filter(|_| is_whole));
+    lock(&cx.shared.handing).finish(revision, taker.filter(|_| is_whole));
     served.map(drop)
 }
 
 /// Whether this VM knows what is in force, and all VMs where they are wanted: who was told of some takes those for all.
 fn can_hand_on(cx: &PublishedContext, question: &StateQuestion) -> bool {
-    cx.shared.knows_state() && (!question.wants_vms || cx.shared.peers().is_listed())
+    cx.shared.knows_state() && (!question.wants_vms || cx.shared.peers().is_list_loaded())
 }
 
 /// Decides on a VM that asks, once it may be served or another one can be named; at what revision.
-async fn admit(cx: &PublishedContext) -> (Admission, u64) {
+async fn admit(cx: &PublishedContext) -> (TransferDecision, u64) {
     let until = Instant::now() + WAIT_LIMIT;
     loop {
         let revision = revision(cx);
         let admission = lock(&cx.shared.handing).admit(revision);
-        if admission != Admission::Later || Instant::now() >= until {
+        if admission != TransferDecision::Wait || Instant::now() >= until {
             return (admission, revision);
         }
         sleep(WAIT_STEP).await;
@@ -191,7 +191,7 @@
         let mut answer = Self { head: empty_head(), texts: Vec::new() };
         // Without its own first reads this VM has nothing to tell but whom it knows.
         if question.only_vms {
-            if cx.shared.peers().is_listed() {
+            if cx.shared.peers().is_list_loaded() {
                 answer.head.vms = Some(answer.part(0, Duration::ZERO, vms_text(cx)?));
             }
             return Ok(answer);
@@ -204,7 +204,7 @@
         } else {
             answer.head.reading_age_ms = cx.shared.store_read_at(now).map(|at| age_ms(at, now));
         }
-        answer.head.quarantine = cx.shared.quarantine().hand_on(now).map(encode_quarantine);
+        answer.head.quarantine = cx.shared.quarantine().full_report(now).map(encode_quarantine);
         answer.head.signals = Some(encode_signals(cx.shared.send_limits().signals.transfer_entries(now)));
         if question.wants_vms && can_hand_on(cx, question) {
             answer.head.vms = Some(answer.part(0, Duration::ZERO, vms_text(cx)?));
--- a/havengrade_router/src/published/job.rs
+++ b/havengrade_router/src/published/job.rs
@@ -7,8 +7,8 @@
 
 use bytes::Bytes;
 use havengrade_core::{
+    fingerprint::{RequestFingerprint, fingerprint},
     ids::{AccountId, EndpointId, ServiceId},
-    mark::{RequestMark, mark},
     published::{
         attempt::{Attempts, Guarantee, RunState},
         model_choice,
@@ -58,7 +58,7 @@
     /// Whether it is the one by which a request that was held back is tried once more.
     pub(super) is_trial: bool,
     /// What it is known by, once that was asked for.
-    mark: OnceLock<RequestMark>,
+    mark: OnceLock<RequestFingerprint>,
     /// Tries so far.
     pub(super) attempts: Attempts,
     /// Endpoints that were tried.
@@ -72,11 +72,11 @@
     }
 
     /// What it is known by over all its repeats: host, path, client account and body; worked out when it is first asked for.
-    pub(super) fn mark(&self) -> RequestMark {
+    pub(super) fn mark(&self) -> RequestFingerprint {
         *self.mark.get_or_init(|| {
             let host = self.head.headers.get(header::HOST).map(|host| host.as_bytes().to_ascii_lowercase());
             let path = self.head.uri.path_and_query().map_or("", |path| path.as_str());
-            mark(&[
+            fingerprint(&[
                 self.head.method.as_str().as_bytes(),
                 &host.unwrap_or_default(),
                 path.as_bytes(),
--- a/havengrade_router/src/published/parts.rs
+++ b/havengrade_router/src/published/parts.rs
@@ -60,7 +60,7 @@
     let now = cx.shared.clock.now();
     let (revision, told) = {
         let peers = cx.shared.peers();
-        (peers.revision(), peers.told(now))
+        (peers.revision(), peers.known_peers(now))
     };
     let mut written = lock(&cx.shared.written);
     once(&mut written.vms, revision, || deflate(&told))
--- a/havengrade_router/src/published/peers.rs
+++ b/havengrade_router/src/published/peers.rs
@@ -12,7 +12,7 @@
     published::{
         peers::{Peer, Work, WorkReport},
         rollout::Learned,
-        start::FirstReaders,
+        startup::FirstReaders,
     },
 };
 use havengrade_rpc::reports::{Datagram, Greeting, StoreQuestion, VmReport};
@@ -166,7 +166,7 @@
     fn listeners(&self, now: SystemTime) -> Vec<SocketAddr> {
         let mut peers = self.cx.shared.peers();
         peers.expire(now);
-        peers.listeners(&self.cx.shared.settings.vm.failure_domain, &mut *self.cx.shared.rng())
+        peers.report_targets(&self.cx.shared.settings.vm.failure_domain, &mut *self.cx.shared.rng())
     }
 
     /// Whether it is time for a report: soon where the work has changed or a new version has answered, now and then where
@@ -176,7 +176,7 @@
         let pause = if self.cx.shared.peers().is_large() { LARGE_FLEET_PAUSE } else { REPORT_PAUSE };
         let is_news = sent != work
             || self.cx.shared.rollouts().has_news(self.cx.shared.incarnation, now)
-            || self.cx.shared.quarantine().has_news()
+            || self.cx.shared.quarantine().has_unreported()
             || self.cx.shared.send_limits().signals.has_unreported();
         now >= *at + if is_news { pause } else { REPORT_EVERY }
     }
@@ -217,11 +217,11 @@
     let me = cx.me();
     let peers = cx.shared.peers();
     let vms: Vec<&Peer> = peers.all().chain([&me]).collect();
-    let first = FirstReaders::among(&vms);
+    let first = FirstReaders::select(&vms);
     let greeted = vms.iter().filter(|peer| others.contains(&peer.address));
     let greeting = |peer: &&&Peer| {
-        let readers = first.of(&peer.failure_domain).iter().map(SocketAddr::to_string).collect();
-        (Greeting::new(report.clone(), first.includes(peer), readers), peer.address)
+        let readers = first.in_domain(&peer.failure_domain).iter().map(SocketAddr::to_string).collect();
+        (Greeting::new(report.clone(), first.contains(peer), readers), peer.address)
     };
     greeted.map(|peer| greeting(&peer)).collect()
 }
@@ -255,7 +255,7 @@
 fn own_report(cx: &PublishedContext, seq: u64, work: &[(EndpointId, Work)]) -> Report {
     let now = cx.shared.clock.now();
     let rollouts = cx.shared.rollouts().news(cx.shared.rollout_bounds(), cx.shared.incarnation, now);
-    let quarantine = cx.shared.quarantine().tell(now);
+    let quarantine = cx.shared.quarantine().next_report(now);
     let signals = cx.shared.send_limits().signals.next_report(now);
     Report { work: WorkReport { peer: cx.me(), seq, work: work.to_vec() }, rollouts, quarantine, signals }
 }
@@ -295,7 +295,7 @@
 fn take_greeting(cx: &PublishedContext, greeting: Greeting, now: SystemTime) {
     if !cx.shared.knows_state() {
         let readers = greeting.readers.iter().filter_map(|reader| reader.parse().ok()).collect();
-        cx.shared.reading_news().greet(greeting.reads_first, readers);
+        cx.shared.reading_news().apply_greeting(greeting.reads_first, readers);
     }
     take_report(cx, greeting.report, now);
 }
@@ -312,10 +312,10 @@
     for learned in learned {
         log_learned(&learned, peer);
     }
-    let changes = cx.shared.quarantine().hear(report.quarantine, now);
+    let changes = cx.shared.quarantine().merge_report(report.quarantine, now);
     tell(cx, &changes);
     hear_signals(cx, report.signals, now);
-    cx.shared.peers().report(report.work, now);
+    cx.shared.peers().apply_report(report.work, now);
     cx.shared.tell_heard();
 }
 
--- a/havengrade_router/src/published/ports.rs
+++ b/havengrade_router/src/published/ports.rs
@@ -8,8 +8,8 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use havengrade_core::{
+    fingerprint::RequestFingerprint,
     ids::{RequestId, ServiceId, SessionId},
-    mark::RequestMark,
     published::{
         attempt::RunState,
         directory::{DirectoryEvent, SoftwareVersion},
@@ -19,7 +19,7 @@
         route::Publication,
         signals::Signal,
     },
-    quarantine::KeptHold,
+    quarantine::QuarantineEntry,
 };
 use hyper::{HeaderMap, StatusCode};
 use snafu::Snafu;
@@ -252,28 +252,29 @@
     /// # Errors
     ///
     /// [`StoreError`] where the list could not be read.
-    async fn read(&self) -> Result<Vec<KeptHold>, StoreError>;
+    async fn read(&self) -> Result<Vec<QuarantineEntry>, StoreError>;
 
     /// Enters a request, unless it is on the list.
     ///
     /// # Errors
     ///
     /// [`StoreError`] where it was not entered, or may not have been.
-    async fn keep(&self, hold: &KeptHold) -> Result<(), StoreError>;
+    async fn keep(&self, hold: &QuarantineEntry) -> Result<(), StoreError>;
 
     /// Takes a request off the list, since it is free.
     ///
     /// # Errors
     ///
     /// [`StoreError`] where it was not taken off, or may not have been.
-    async fn release(&self, mark: RequestMark) -> Result<(), StoreError>;
+    async fn release(&self, mark: RequestFingerprint) -> Result<(), StoreError>;
 
     /// Claims the next trial of a request for this VM, by [`havengrade_core::quarantine::next_trial`]; gives the entry that was written, unless another VM was first.
     ///
     /// # Errors
     ///
     /// [`StoreError`] where it was not claimed, or may not have been.
-    async fn claim_trial(&self, hold: &KeptHold, now: SystemTime) -> Result<Option<KeptHold>, StoreError>;
+    async fn claim_trial(&self, hold: &QuarantineEntry, now: SystemTime)
+    -> Result<Option<QuarantineEntry>, StoreError>;
 }
 
 /// The kept list of the VMs that serve published routes.
--- a/havengrade_router/src/published/quarantine.rs
+++ b/havengrade_router/src/published/quarantine.rs
@@ -7,9 +7,9 @@
 };
 
 use havengrade_core::{
-    mark::{RequestMark, VersionMark, mark},
+    fingerprint::{RequestFingerprint, VersionFingerprint, fingerprint},
     published::{directory::ListedEndpoint, position::Era},
-    quarantine::{KeptHold, QuarantineChange, Standing},
+    quarantine::{QuarantineChange, QuarantineEntry, QuarantineStatus},
 };
 use rand::RngExt as _;
 use tokio::{
@@ -44,19 +44,19 @@
 const KEEP_SPREAD_MS: u64 = 1500;
 
 /// What may be done with a request before its next try, once it is judged by what all VMs saw; others' reports are waited for.
-async fn standing(cx: &PublishedContext, job: &Job) -> Standing {
-    let mut standing = Standing::Free;
+async fn standing(cx: &PublishedContext, job: &Job) -> QuarantineStatus {
+    let mut standing = QuarantineStatus::Free;
     for _ in 0..MAX_WAITS {
         let now = cx.shared.clock.now();
         standing = {
             let quarantine = cx.shared.quarantine();
-            if quarantine.is_watching() { quarantine.standing(job.mark(), now) } else { Standing::Free }
+            if quarantine.needs_fingerprints() { quarantine.status(job.mark(), now) } else { QuarantineStatus::Free }
         };
-        let Standing::Awaited { known_in } = standing else { return standing };
-        if known_in >= job.time_left(now).min(MOST_WAIT) {
+        let QuarantineStatus::Pending { decided_in } = standing else { return standing };
+        if decided_in >= job.time_left(now).min(MOST_WAIT) {
             return standing;
         }
-        sleep(known_in.max(LEAST_WAIT)).await;
+        sleep(decided_in.max(LEAST_WAIT)).await;
         settle(cx, cx.shared.clock.now());
     }
     standing
@@ -64,17 +64,17 @@
 
 /// Whether a stream may be taken up as far as is known; a trial is one send.
 pub(super) async fn may_resume(cx: &PublishedContext, job: &Job) -> bool {
-    !job.is_trial && standing(cx, job).await == Standing::Free
+    !job.is_trial && standing(cx, job).await == QuarantineStatus::Free
 }
 
 /// Lets a request through, or refuses it where it is held back; gives what it is held for where it may be tried once more.
-pub(super) async fn admit(cx: &PublishedContext, job: &Job) -> Result<Option<KeptHold>, Refusal> {
+pub(super) async fn admit(cx: &PublishedContext, job: &Job) -> Result<Option<QuarantineEntry>, Refusal> {
     let held = match standing(cx, job).await {
-        Standing::Free => return Ok(None),
-        Standing::OnTrial(hold) if !job.attempts.is_repeat() => return Ok(Some(hold)),
-        Standing::OnTrial(_) => Refusal::Quarantined { back_after: CLAIM_PAUSE },
-        Standing::Awaited { known_in } => Refusal::Quarantined { back_after: known_in },
-        Standing::Held { back_after } => Refusal::Quarantined { back_after },
+        QuarantineStatus::Free => return Ok(None),
+        QuarantineStatus::TrialDue(hold) if !job.attempts.is_repeat() => return Ok(Some(hold)),
+        QuarantineStatus::TrialDue(_) => Refusal::Quarantined { back_after: CLAIM_PAUSE },
+        QuarantineStatus::Pending { decided_in } => Refusal::Quarantined { back_after: decided_in },
+        QuarantineStatus::Quarantined { retry_after } => Refusal::Quarantined { back_after: retry_after },
     };
     Err(job.refusal(held, Refusal::Lost))
 }
@@ -84,7 +84,7 @@
 /// # Errors
 ///
 /// [`Refusal`] where the list can't be written, or the request has waited for long enough.
-pub(super) async fn claim_trial(cx: &PublishedContext, job: &mut Job, hold: &KeptHold) -> Result<bool, Refusal> {
+pub(super) async fn claim_trial(cx: &PublishedContext, job: &mut Job, hold: &QuarantineEntry) -> Result<bool, Refusal> {
     let now = cx.shared.clock.now();
     let held = Refusal::Quarantined { back_after: CLAIM_PAUSE };
     let claimed = match cx.quarantine_book.claim_trial(hold, now).await {
@@ -105,12 +105,12 @@
     };
     {
         let mut quarantine = cx.shared.quarantine();
-        quarantine.note_trials(kept.mark, kept.trials, kept.tried);
-        quarantine.set_kept(kept.mark);
+        quarantine.record_trials(kept.fingerprint, kept.trials, kept.last_trial);
+        quarantine.set_stored(kept.fingerprint);
     }
     log::info!(
         request = job.id.as_str(),
-        mark = name(kept.mark).as_str(),
+        mark = name(kept.fingerprint).as_str(),
         trials = kept.trials;
         "a request that is held back is tried once more"
     );
@@ -119,15 +119,15 @@
 }
 
 /// What a request is known by, and the version that runs it.
-fn run_of(job: &Job, version: &str) -> (RequestMark, VersionMark) {
-    (job.mark(), mark(&[version.as_bytes()]))
+fn run_of(job: &Job, version: &str) -> (RequestFingerprint, VersionFingerprint) {
+    (job.mark(), fingerprint(&[version.as_bytes()]))
 }
 
 /// Notes that a request got a whole answer, so that it is none of those that crash endpoints.
 pub(super) fn note_answered(cx: &PublishedContext, job: &Job, version: &str, now: SystemTime) {
     cx.shared.note_answer(now);
     let run = run_of(job, version);
-    let change = cx.shared.quarantine().note_answered(run, now);
+    let change = cx.shared.quarantine().record_answer(run, now);
     tell(cx, change.as_slice());
 }
 
@@ -136,7 +136,7 @@
     let now = cx.shared.clock.now();
     let ran_for = now.duration_since(sent).unwrap_or_default();
     let run = run_of(job, &endpoint.version);
-    cx.shared.quarantine().note_broken(run, &endpoint.id, ran_for, now);
+    cx.shared.quarantine().record_broken_attempt(run, &endpoint.id, ran_for, now);
     settle(cx, now);
     let is_due = cx.shared.states.slot(&endpoint.id).is_some_and(|slot| slot.begin_look(LOOK_PAUSE, now));
     if !is_due {
@@ -150,7 +150,7 @@
 pub(super) fn note_left(cx: &PublishedContext, job: &Job, endpoint: &ListedEndpoint, sent: SystemTime) {
     let now = cx.shared.clock.now();
     let ran_for = now.duration_since(sent).unwrap_or_default();
-    cx.shared.quarantine().note_left(run_of(job, &endpoint.version), &endpoint.id, ran_for, now);
+    cx.shared.quarantine().record_abandoned_attempt(run_of(job, &endpoint.version), &endpoint.id, ran_for, now);
 }
 
 /// Notes an answer that ended with its connection: it was whole if its endpoint is there.
@@ -161,7 +161,7 @@
         Presence::Answers => note_answered(cx, job, &endpoint.version, now),
         Presence::Refuses | Presence::Silent => {
             let run = run_of(job, &endpoint.version);
-            cx.shared.quarantine().note_broken(run, &endpoint.id, ran_for, now);
+            cx.shared.quarantine().record_broken_attempt(run, &endpoint.id, ran_for, now);
             settle(cx, now);
         },
     }
@@ -173,10 +173,10 @@
     log_look(&endpoint.id, found);
     let hears_others = cx.shared.answered_within(ANSWERED_LATELY, now);
     match found {
-        Presence::Refuses => cx.shared.quarantine().note_ended(&endpoint.id, now),
-        Presence::Silent if hears_others => cx.shared.quarantine().note_ended(&endpoint.id, now),
+        Presence::Refuses => cx.shared.quarantine().record_endpoint_exit(&endpoint.id, now),
+        Presence::Silent if hears_others => cx.shared.quarantine().record_endpoint_exit(&endpoint.id, now),
         Presence::Silent => {},
-        Presence::Answers => cx.shared.quarantine().note_there(&endpoint.id),
+        Presence::Answers => cx.shared.quarantine().record_endpoint_alive(&endpoint.id),
     }
     settle(cx, now);
     found
@@ -193,7 +193,7 @@
 fn judge(cx: &PublishedContext, now: SystemTime) -> bool {
     let (changes, has_suspects) = {
         let mut quarantine = cx.shared.quarantine();
-        (quarantine.judge(now), quarantine.has_suspects())
+        (quarantine.quarantine_suspects(now), quarantine.has_suspects())
     };
     tell(cx, &changes);
     has_suspects
@@ -217,7 +217,7 @@
 async fn read_list(cx: &PublishedContext) -> bool {
     match cx.quarantine_book.read().await {
         Ok(kept) => {
-            let changes = cx.shared.quarantine().take_kept(&kept, cx.shared.clock.now());
+            let changes = cx.shared.quarantine().merge_stored(&kept, cx.shared.clock.now());
             tell(cx, &changes);
             true
         },
@@ -233,7 +233,7 @@
     /// Changes whenever the store has come back from an older copy.
     eras: watch::Receiver<Option<Era>>,
     /// When this VM writes that a request is held back, unless another one did.
-    due: HashMap<RequestMark, SystemTime>,
+    due: HashMap<RequestFingerprint, SystemTime>,
 }
 
 impl Keeper {
@@ -246,22 +246,22 @@
                 self.eras.mark_unchanged();
                 self.look_for_lost().await;
             }
-            if self.cx.shared.store.follows() && !self.cx.shared.quarantine().is_read() {
+            if self.cx.shared.store.follows() && !self.cx.shared.quarantine().is_loaded() {
                 self.learn(now).await;
             }
-            let unkept = self.cx.shared.quarantine().unkept();
-            self.due.retain(|mark, _| unkept.iter().any(|hold| hold.mark == *mark));
-            for hold in &unkept {
-                if self.is_due(hold.mark, now) {
+            let unstored = self.cx.shared.quarantine().unstored();
+            self.due.retain(|mark, _| unstored.iter().any(|hold| hold.fingerprint == *mark));
+            for hold in &unstored {
+                if self.is_due(hold.fingerprint, now) {
                     self.keep(hold).await;
                 }
             }
-            let freed = self.cx.shared.quarantine().freed();
+            let freed = self.cx.shared.quarantine().released();
             for mark in &freed {
                 self.release(*mark).await;
             }
             let is_done =
-                unkept.is_empty() && freed.is_empty() && !has_suspects && self.cx.shared.quarantine().is_read();
+                unstored.is_empty() && freed.is_empty() && !has_suspects && self.cx.shared.quarantine().is_loaded();
             let pause = if is_done { IDLE } else { BUSY };
             let is_changed = timeout(pause, self.cx.shared.quarantine_changed()).await.is_ok();
             if is_changed {
@@ -277,13 +277,13 @@
             return;
         }
         // Entered again unless they stand there; what VMs tell each other of the list is of before its loss.
-        let held = self.cx.shared.quarantine().held();
+        let held = self.cx.shared.quarantine().entries();
         for hold in &held {
             self.keep(hold).await;
         }
     }
 
-    fn is_due(&mut self, mark: RequestMark, now: SystemTime) -> bool {
+    fn is_due(&mut self, mark: RequestFingerprint, now: SystemTime) -> bool {
         let spread = Duration::from_millis(self.cx.shared.rng().random_range(0..KEEP_SPREAD_MS));
         now >= *self.due.entry(mark).or_insert(now + spread)
     }
@@ -297,15 +297,15 @@
                 sleep(IDLE).await;
             }
         } else if self.cx.shared.running_for(now) >= TOLD_AFTER {
-            self.cx.shared.quarantine().set_read();
+            self.cx.shared.quarantine().set_loaded();
         }
     }
 
-    async fn release(&self, mark: RequestMark) {
+    async fn release(&self, mark: RequestFingerprint) {
         match self.cx.quarantine_book.release(mark).await {
             Ok(()) => {
                 log::info!(mark = name(mark).as_str(); "a request is off the list of those that are held back");
-                self.cx.shared.quarantine().set_off_list(mark);
+                self.cx.shared.quarantine().set_removed(mark);
             },
             Err(error) => {
                 log::warn!(mark = name(mark).as_str(); "a request that is free is still on the list: {error}");
@@ -314,14 +314,14 @@
         }
     }
 
-    async fn keep(&self, hold: &KeptHold) {
+    async fn keep(&self, hold: &QuarantineEntry) {
         match self.cx.quarantine_book.keep(hold).await {
             Ok(()) => {
-                log::info!(mark = name(hold.mark).as_str(); "a request is on the list of those that are held back");
-                self.cx.shared.quarantine().set_kept(hold.mark);
+                log::info!(mark = name(hold.fingerprint).as_str(); "a request is on the list of those that are held back");
+                self.cx.shared.quarantine().set_stored(hold.fingerprint);
             },
             Err(error) => {
-                log::warn!(mark = name(hold.mark).as_str(); "a request that is held back was not written: {error}");
+                log::warn!(mark = name(hold.fingerprint).as_str(); "a request that is held back was not written: {error}");
                 sleep(IDLE).await;
             },
         }
--- a/havengrade_router/src/published/restrained.rs
+++ b/havengrade_router/src/published/restrained.rs
@@ -60,7 +60,7 @@
             endpoint,
             cold_per_s: self.cold_per_s,
             may_be_cold: self.cx.shared.emptied.load().may_be_cold(&endpoint.failure_domain, now),
-            vms_revision: peers.is_listed().then(|| peers.revision()),
+            vms_revision: peers.is_list_loaded().then(|| peers.revision()),
         }
     }
 
--- a/havengrade_router/src/published/roster.rs
+++ b/havengrade_router/src/published/roster.rs
@@ -4,8 +4,8 @@
 
 use havengrade_core::published::{
     peers::Peer,
-    relay::readers,
-    start::{entry_spread, retry_after},
+    relay::reader_count,
+    startup::{registration_spread, retry_delay},
 };
 use rand::RngExt as _;
 use tokio::time::sleep;
@@ -58,7 +58,7 @@
 
 /// Time that this VM leaves to others for their entries.
 fn until_entry(cx: &PublishedContext) -> Duration {
-    entry_spread(cx.shared.peers().len()).mul_f64(cx.shared.rng().random::<f64>())
+    registration_spread(cx.shared.peers().len()).mul_f64(cx.shared.rng().random::<f64>())
 }
 
 /// Enters this VM before anything else; tells whether that was done.
@@ -73,7 +73,7 @@
 async fn enter(cx: &PublishedContext, roster: &dyn Roster, me: &Peer) {
     while let Err(error) = roster.enter(me).await {
         let waited = cx.shared.running_for(cx.shared.clock.now());
-        let pause = retry_after(waited, &mut *cx.shared.rng());
+        let pause = retry_delay(waited, &mut *cx.shared.rng());
         log::warn!("this VM is not on the list of VMs yet, {} ms until the next try: {error}", pause.as_millis());
         sleep(pause).await;
     }
@@ -96,7 +96,7 @@
         sleep(spread(cx, settle.next().unwrap_or(usual))).await;
         let known: HashSet<SocketAddr> = addresses(cx).into_iter().collect();
         // Those that read the store look at the kept list itself; what they learn the others ask for.
-        let knows_all = cx.shared.peers().is_listed() && !known.is_empty();
+        let knows_all = cx.shared.peers().is_list_loaded() && !known.is_empty();
         if !cx.hands_news_on || cx.shared.store.is_reader() || !knows_all {
             if let Err(error) = read_list(cx, roster).await {
                 log::warn!("the list of VMs could not be read: {error}");
@@ -119,7 +119,7 @@
         }
     }
     let vms = cx.shared.peers().len() + 1;
-    let is_turn = cx.shared.rng().random_range(0..vms) < readers(vms);
+    let is_turn = cx.shared.rng().random_range(0..vms) < reader_count(vms);
     if is_turn && let Err(error) = read_list(cx, roster).await {
         log::warn!("the list of VMs could not be read, and nobody told it: {error}");
     }
--- a/havengrade_router/src/published/server.rs
+++ b/havengrade_router/src/published/server.rs
@@ -64,7 +64,7 @@
     if timeout(START_LIMIT, cx.shared.learned_all()).await.is_ok() {
         return true;
     }
-    let makes_progress = cx.shared.peers().is_listed();
+    let makes_progress = cx.shared.peers().is_list_loaded();
     makes_progress && timeout(PROGRESS_LIMIT - START_LIMIT, cx.shared.learned_all()).await.is_ok()
 }
 
--- a/havengrade_router/src/published/starting.rs
+++ b/havengrade_router/src/published/starting.rs
@@ -3,7 +3,9 @@
 use std::{net::SocketAddr, time::Duration};
 
 use futures::{StreamExt as _, stream::FuturesUnordered};
-use havengrade_core::published::start::{FIRST_LISTEN, NextStep, ROUND, Starting, listen_for, retry_after};
+use havengrade_core::published::startup::{
+    FIRST_START_LISTEN_TIME, NextStep, ROUND_INTERVAL, StartingVm, listen_time, retry_delay,
+};
 use tokio::time::timeout;
 
 use crate::published::{
@@ -33,17 +35,17 @@
         // What is followed costs nothing, and nobody hands it on.
         follow::begin(cx);
     }
-    let mut pause = listen_for(&mut *cx.shared.rng());
+    let mut pause = listen_time(&mut *cx.shared.rng());
     if cx.shared.settings.published.is_first_start {
         // Until the others are on the list as well.
-        pause = FIRST_LISTEN + pause * FIRST_SPREAD;
+        pause = FIRST_START_LISTEN_TIME + pause * FIRST_SPREAD;
     }
     while timeout(pause, cx.shared.other_heard()).await.is_err() {
         match read_list(cx, roster).await {
             Ok(()) => return peers::greet(cx, addresses(cx)),
             Err(error) => {
                 let waited = cx.shared.running_for(cx.shared.clock.now());
-                pause = retry_after(waited, &mut *cx.shared.rng());
+                pause = retry_delay(waited, &mut *cx.shared.rng());
                 log::warn!("the list of VMs could not be read, {} ms until the next try: {error}", pause.as_millis());
             },
         }
@@ -53,7 +55,7 @@
 /// Asks others, round by round, until this VM knows what is in force.
 async fn learn(cx: &PublishedContext, roster: &dyn Roster) {
     let asked = cx.shared.clock.now();
-    let mut pause = ROUND;
+    let mut pause = ROUND_INTERVAL;
     for round in 0.. {
         if ask_round(cx, round).await {
             return;
@@ -61,7 +63,7 @@
         let step = starting(cx, |starting| starting.next_step(asked, cx.shared.clock.now()));
         match step {
             NextStep::Ask => {},
-            NextStep::ReadList => find_all(cx, roster).await,
+            NextStep::ReadVmList => find_all(cx, roster).await,
             NextStep::ReadStore => {
                 cx.shared.store.begin_reading(cx.shared.clock.now());
                 learn_all(cx, roster).await;
@@ -85,7 +87,7 @@
 
 /// Learns of all VMs, since whom this one hands on to takes them from it as well.
 async fn learn_all(cx: &PublishedContext, roster: &dyn Roster) {
-    if !cx.shared.peers().is_listed()
+    if !cx.shared.peers().is_list_loaded()
         && let Err(error) = read_list(cx, roster).await
     {
         log::warn!("the list of VMs could not be read by a VM that reads for others: {error}");
@@ -93,11 +95,11 @@
 }
 
 /// What follows from this VM's start and what it knows of the others.
-fn starting<T>(cx: &PublishedContext, decide: impl FnOnce(Starting<'_>) -> T) -> T {
+fn starting<T>(cx: &PublishedContext, decide: impl FnOnce(StartingVm<'_>) -> T) -> T {
     let me = cx.me();
     let peers = cx.shared.peers();
     let news = cx.shared.reading_news();
-    decide(Starting { me: &me, others: peers.all().collect(), is_listed: peers.is_listed(), news: &news })
+    decide(StartingVm { me: &me, others: peers.all().collect(), is_list_loaded: peers.is_list_loaded(), news: &news })
 }
 
 /// Asks some others at the same time; tells whether one of them told everything.
@@ -105,7 +107,7 @@
     if !cx.hands_news_on {
         return false;
     }
-    let asked: Vec<SocketAddr> = starting(cx, |starting| starting.ask(round, &mut *cx.shared.rng()));
+    let asked: Vec<SocketAddr> = starting(cx, |starting| starting.peers_to_ask(round, &mut *cx.shared.rng()));
     let mut answers: FuturesUnordered<_> =
         asked.into_iter().map(|from| async move { (from, take(cx, from, Wanted::Everything).await) }).collect();
     while let Some((from, taken)) = answers.next().await {
--- a/havengrade_router/src/published/store_view.rs
+++ b/havengrade_router/src/published/store_view.rs
@@ -9,7 +9,7 @@
     ids::VmId,
     published::{
         directory::DirectoryEvent,
-        relay::{Readers, TOLD_LIMIT, confirmed_at},
+        relay::{MAX_RELAYED_AGE, ReaderSelection, confirmed_at},
     },
 };
 use havengrade_rpc::reports::{StoreAnswer, StoreQuestion};
@@ -52,7 +52,7 @@
 pub(super) struct Questions {
     last: Option<Asked>,
     number: u64,
-    readers: Readers,
+    readers: ReaderSelection,
 }
 
 impl Questions {
@@ -63,7 +63,7 @@
             return None;
         }
         if let Some(asked) = self.last.take_if(|asked| !asked.is_answered) {
-            self.readers.miss(&asked.vm, now);
+            self.readers.record_miss(&asked.vm, now);
         }
         let (vm, to) = self.choose(cx, now)?;
         let (operators, endpoints) = positions(cx)?;
@@ -77,18 +77,18 @@
     fn choose(&mut self, cx: &PublishedContext, now: SystemTime) -> Option<(VmId, SocketAddr)> {
         let me = &cx.shared.settings.vm.id;
         let peers = cx.shared.peers();
-        if !peers.is_listed() {
+        if !peers.is_list_loaded() {
             return None;
         }
         let vms = peers.all().map(|peer| &peer.vm).chain([me]);
-        let readers = self.readers.among(vms, me, now);
+        let readers = self.readers.select(vms, me, now);
         let is_reader = readers.contains(&me);
         cx.shared.store.set_reader(is_reader);
         if is_reader {
             cx.shared.store.set_volunteer(false);
             return None;
         }
-        let vm = self.readers.next(&readers)?;
+        let vm = self.readers.next_to_ask(&readers)?;
         let address = peers.address(&vm)?;
         Some((vm, address))
     }
@@ -102,9 +102,9 @@
         let Some(asked) = self.last.as_mut().filter(|asked| asked.number == from_i64(answer.number)) else { return };
         let age = age_of(&answer);
         asked.is_answered = true;
-        if age >= TOLD_LIMIT {
-            self.readers.hear_old(&asked.vm);
-        } else if self.readers.hear(&asked.vm) {
+        if age >= MAX_RELAYED_AGE {
+            self.readers.record_stale_answer(&asked.vm);
+        } else if self.readers.record_answer(&asked.vm) {
             cx.shared.store.set_volunteer(false);
         }
         take_operators(cx, asked, &answer);
@@ -120,7 +120,7 @@
         }
         let now = cx.shared.clock.now();
         let is_old = cx.shared.config_age(now).is_none_or(|age| age >= VOLUNTEER_AGE);
-        if is_old && age_of(hint) < TOLD_LIMIT {
+        if is_old && age_of(hint) < MAX_RELAYED_AGE {
             self.take_volunteer(cx, hint);
         }
     }
@@ -130,7 +130,7 @@
         let Some(address) = address_of(hint) else { return };
         let vm = cx.shared.peers().all().find(|peer| peer.address == address).map(|peer| peer.vm.clone());
         if let Some(vm) = vm {
-            self.readers.volunteer(vm);
+            self.readers.add_fallback(vm);
             self.last = None;
         }
     }
--- a/havengrade_router/src/published/take.rs
+++ b/havengrade_router/src/published/take.rs
@@ -11,7 +11,7 @@
 use futures::{SinkExt as _, StreamExt as _};
 use havengrade_core::published::{
     directory::DirectoryEvent,
-    relay::{confirmed_at, rounds_before_store},
+    relay::{confirmed_at, peer_rounds_before_read},
 };
 use havengrade_rpc::{
     Frames, RpcError, frames,
@@ -133,7 +133,7 @@
 /// In a large fleet many ask at the same moment, and another one hardly knows more; so they ask again before they read the store, which
 /// can't bear them all.
 async fn take_from_any(cx: &PublishedContext, from: SocketAddr, wanted: Wanted) {
-    let rounds = rounds_before_store(cx.shared.peers().len());
+    let rounds = peer_rounds_before_read(cx.shared.peers().len());
     for _ in 0..rounds {
         if take(cx, from, wanted).await.is_ok() {
             return;
@@ -217,7 +217,7 @@
         (view.operators, cx.shared.knows_endpoints().then(|| view.endpoints.position()))
     };
     let address = cx.shared.settings.listen.peers.to_string();
-    let wants_vms = wanted == Wanted::Everything && (operators.is_some() || !cx.shared.peers().is_listed());
+    let wants_vms = wanted == Wanted::Everything && (operators.is_some() || !cx.shared.peers().is_list_loaded());
     let only_vms = wanted == Wanted::Vms;
     StateQuestion::new(address, operators.map(to_i64), endpoints.map(to_i64), wants_vms || only_vms, only_vms)
 }
@@ -250,15 +250,15 @@
     let is_vms_told = vms.is_some();
     if let Some(vms) = vms {
         let mut peers = cx.shared.peers();
-        peers.set_listed();
+        peers.set_list_loaded();
         let others = vms.into_iter().filter(|(peer, _)| peer.vm != cx.shared.settings.vm.id);
-        peers.learn(others.collect(), cx.shared.clock.now());
+        peers.merge_known(others.collect(), cx.shared.clock.now());
     }
     if wanted == Wanted::Vms {
         return if is_vms_told { Ok(()) } else { NothingSnafu.fail() };
     }
     if let Some(age_ms) = head.reading_age_ms {
-        cx.shared.reading_news().hear(confirmed_at(asked, Duration::from_millis(from_i64(age_ms))));
+        cx.shared.reading_news().record_read(confirmed_at(asked, Duration::from_millis(from_i64(age_ms))));
     }
     let (Some(operators_part), Some(endpoints_part)) = (head.operators, head.endpoints) else {
         return NothingSnafu.fail();
@@ -281,8 +281,8 @@
         let now = cx.shared.clock.now();
         let changes = {
             let mut known = cx.shared.quarantine();
-            known.set_read();
-            known.hear(decode_quarantine(quarantine), now)
+            known.set_loaded();
+            known.merge_report(decode_quarantine(quarantine), now)
         };
         tell(cx, &changes);
     }
--- a/havengrade_router/src/published/takers.rs
+++ b/havengrade_router/src/published/takers.rs
@@ -147,7 +147,7 @@
                 view.listed = used.collect();
             }
             let listed = view.listed.len();
-            view.endpoints.note(&changes, position, listed);
+            view.endpoints.record(&changes, position, listed);
             view.is_restoring = self.directory.is_restoring(now);
             view.endpoints_at = view.endpoints_at.max(at);
         }
--- a/havengrade_router/src/published/vms.rs
+++ b/havengrade_router/src/published/vms.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use havengrade_core::published::relay::Readers;
+use havengrade_core::published::relay::ReaderSelection;
 use rand::seq::IteratorRandom as _;
 
 use crate::published::{
@@ -21,9 +21,9 @@
     let listed = roster.read().await?;
     let now = cx.shared.clock.now();
     let mut known = cx.shared.peers();
-    known.set_listed();
+    known.set_list_loaded();
     for peer in listed.into_iter().filter(|peer| peer.vm != cx.shared.settings.vm.id) {
-        known.list(peer, now);
+        known.add_listed(peer, now);
     }
     log::info!(vms = known.len(); "list of VMs read");
     Ok(())
@@ -43,7 +43,7 @@
     let me = &cx.shared.settings.vm.id;
     let peers = cx.shared.peers();
     let vms = peers.all().map(|peer| &peer.vm).chain([me]);
-    let readers = Readers::default().among(vms, me, cx.shared.clock.now());
+    let readers = ReaderSelection::default().select(vms, me, cx.shared.clock.now());
     let others = readers.into_iter().filter(|vm| *vm != me);
     others.filter_map(|vm| peers.address(vm)).choose(&mut *cx.shared.rng())
 }
--- a/havengrade_router/src/published/wire.rs
+++ b/havengrade_router/src/published/wire.rs
@@ -15,7 +15,7 @@
         signals::{ReportedLimit, ReportedSignal},
         times::{LoadedTimes, Times},
     },
-    quarantine::{QuarantineNews, ToldAnswer, ToldCrash, ToldHold},
+    quarantine::{QuarantineReport, ReportedAnswer, ReportedCrash, ReportedQuarantineEntry},
 };
 use havengrade_rpc::reports::{
     AnsweredRequest, EndpointAnswers, EndpointChange, EndpointCrash, EndpointEntry, EndpointSignal, EndpointWork,
@@ -38,7 +38,7 @@
     /// What it tells of roll-outs.
     pub(super) rollouts: RolloutNews,
     /// What it tells of requests that crash endpoints.
-    pub(super) quarantine: QuarantineNews,
+    pub(super) quarantine: QuarantineReport,
     /// What endpoints said of themselves.
     pub(super) signals: Vec<ReportedSignal>,
 }
@@ -65,7 +65,7 @@
         Some(peer.failure_domain),
         (!halts.is_empty()).then_some(halts),
         (!recent.is_empty()).then_some(recent),
-        (report.quarantine != QuarantineNews::default()).then(|| encode_quarantine(report.quarantine)),
+        (report.quarantine != QuarantineReport::default()).then(|| encode_quarantine(report.quarantine)),
         (!report.signals.is_empty()).then(|| encode_signals(report.signals)),
         (!sessions.is_empty()).then_some(sessions),
     )
@@ -143,28 +143,39 @@
 
 /// Writes what is known of requests that crash endpoints; a mark is 64 bits without a meaning of their own, so it passes through the
 /// schema's signed integers.
-pub(crate) fn encode_quarantine(news: QuarantineNews) -> WireQuarantine {
+pub(crate) fn encode_quarantine(news: QuarantineReport) -> WireQuarantine {
     let millis = |time: Duration| to_i64(time.as_millis() as u64);
-    let QuarantineNews { crashes, held, answered } = news;
+    let QuarantineReport { crashes, held, answered } = news;
     WireQuarantine::new(
         crashes
             .into_iter()
             .map(|told| {
-                let (mark, version) = (told.mark.cast_signed(), told.version.cast_signed());
+                let (mark, version) = (told.fingerprint.cast_signed(), told.version.cast_signed());
                 EndpointCrash::new(mark, told.endpoint, version, millis(told.ran_for), millis(told.age))
             })
             .collect::<Vec<_>>(),
         held.iter().map(encode_hold).collect::<Vec<_>>(),
         answered
             .into_iter()
-            .map(|told| AnsweredRequest::new(told.mark.cast_signed(), told.version.cast_signed(), millis(told.age)))
+            .map(|told| {
+                AnsweredRequest::new(told.fingerprint.cast_signed(), told.version.cast_signed(), millis(told.age))
+            })
             .collect::<Vec<_>>(),
     )
 }
 
-fn encode_hold(told: &ToldHold) -> HeldRequest {
+fn encode_hold(told: &ReportedQuarantineEntry) -> HeldRequest {
     let millis = |time: Duration| to_i64(time.as_millis() as u64);
-    let ToldHold { mark, version, age, held_for, left, trials, tried_ago, is_kept } = *told;
+    let ReportedQuarantineEntry {
+        fingerprint: mark,
+        version,
+        first_crash_age: age,
+        quarantined_for: held_for,
+        remaining: left,
+        trials,
+        last_trial_age: tried_ago,
+        is_stored: is_kept,
+    } = *told;
     let trials = i32::try_from(trials).unwrap_or(i32::MAX);
     HeldRequest::new(
         mark.cast_signed(),
@@ -178,32 +189,32 @@
     )
 }
 
-pub(crate) fn decode_quarantine(news: WireQuarantine) -> QuarantineNews {
+pub(crate) fn decode_quarantine(news: WireQuarantine) -> QuarantineReport {
     let time = |millis: i64| Duration::from_millis(from_i64(millis));
-    let crashes = news.crashes.into_iter().map(|told| ToldCrash {
-        mark: told.mark.cast_unsigned(),
+    let crashes = news.crashes.into_iter().map(|told| ReportedCrash {
+        fingerprint: told.mark.cast_unsigned(),
         endpoint: told.endpoint,
         version: told.version.cast_unsigned(),
         ran_for: time(told.ran_ms),
         age: time(told.age_ms),
     });
-    let held = news.held.into_iter().map(|told| ToldHold {
-        mark: told.mark.cast_unsigned(),
+    let held = news.held.into_iter().map(|told| ReportedQuarantineEntry {
+        fingerprint: told.mark.cast_unsigned(),
         version: told.version.cast_unsigned(),
-        age: time(told.age_ms),
-        held_for: time(told.held_ms),
-        left: time(told.left_ms),
+        first_crash_age: time(told.age_ms),
+        quarantined_for: time(told.held_ms),
+        remaining: time(told.left_ms),
         trials: from_i32(told.trials) as usize,
-        tried_ago: told.tried_ms.map(time),
-        is_kept: told.is_kept,
+        last_trial_age: told.tried_ms.map(time),
+        is_stored: told.is_kept,
     });
     let answered = news.answered.into_iter();
-    let answered = answered.map(|told| ToldAnswer {
-        mark: told.mark.cast_unsigned(),
+    let answered = answered.map(|told| ReportedAnswer {
+        fingerprint: told.mark.cast_unsigned(),
         version: told.version.cast_unsigned(),
         age: time(told.age_ms),
     });
-    QuarantineNews { crashes: crashes.collect(), held: held.collect(), answered: answered.collect() }
+    QuarantineReport { crashes: crashes.collect(), held: held.collect(), answered: answered.collect() }
 }
 
 fn encode_evidence(evidence: RouteEvidence) -> WireEvidence {
--- a/havengrade_router/src/quarantine.rs
+++ b/havengrade_router/src/quarantine.rs
@@ -2,7 +2,7 @@
 
 use std::{io, net::SocketAddr, time::Duration};
 
-use havengrade_core::{mark::RequestMark, quarantine::QuarantineChange};
+use havengrade_core::{fingerprint::RequestFingerprint, quarantine::QuarantineChange};
 use tokio::time::timeout;
 
 use crate::net::{BoxConnection, Network};
@@ -52,7 +52,7 @@
 pub(crate) fn log_changes(changes: &[QuarantineChange]) {
     for change in changes {
         match change {
-            QuarantineChange::Judged { mark, crashes } => {
+            QuarantineChange::Quarantined { fingerprint: mark, crashes } => {
                 metrics::counter!("requests_quarantined").increment(1);
                 log::warn!(
                     mark = name(*mark).as_str(),
@@ -60,10 +60,10 @@
                     "a request is held back, since endpoints end under it"
                 );
             },
-            QuarantineChange::Learned { mark } => {
+            QuarantineChange::Learned { fingerprint: mark } => {
                 log::warn!(mark = name(*mark).as_str(); "a request is held back, as others tell");
             },
-            QuarantineChange::Released { mark } => {
+            QuarantineChange::Released { fingerprint: mark } => {
                 log::warn!(mark = name(*mark).as_str(); "a request is held back no longer, since an endpoint answered it");
             },
         }
@@ -71,6 +71,6 @@
 }
 
 /// A request's mark as it stands in lines.
-pub(crate) fn name(mark: RequestMark) -> String {
+pub(crate) fn name(mark: RequestFingerprint) -> String {
     format!("{mark:016x}")
 }
--- a/havengrade_router/src/services/endpoints.rs
+++ b/havengrade_router/src/services/endpoints.rs
@@ -13,7 +13,7 @@
 use havengrade_core::{
     config::{Catalog, Endpoint, EndpointKind},
     ids::EndpointId,
-    secret::spread,
+    secret::uniform_hash,
 };
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use serde::Deserialize;
@@ -213,7 +213,7 @@
         Self {
             slot,
             address: endpoint.address,
-            place: spread(&[&endpoint.id]),
+            place: uniform_hash(&[&endpoint.id]),
             since: now,
             asked: None,
             says_leaving: false,
--- a/havengrade_router/src/services/ledger.rs
+++ b/havengrade_router/src/services/ledger.rs
@@ -13,7 +13,7 @@
     claim::{ApplyResult, ClaimKey, KeyState},
     ids::{Attempt, Incarnation, Offset, RequestId},
     ledger::{Batch, Ledger, LedgerRecord},
-    secret::spread,
+    secret::uniform_hash,
 };
 use ractor::{Actor, ActorProcessingErr, ActorRef, RpcReplyPort};
 use tokio::time::sleep;
@@ -247,7 +247,7 @@
         let live = self.cx.shared.live_vms();
         let own = live.iter().position(|vm| vm == self.cx.shared.vm()).unwrap_or_default() as u64;
         let is_ours = |key: &ClaimKey, at: SystemTime| {
-            let turn = spread(&[&key.account, &key.key]) % live.len().max(1) as u64;
+            let turn = uniform_hash(&[&key.account, &key.key]) % live.len().max(1) as u64;
             turn == own || now.duration_since(at).unwrap_or_default() >= 2 * limit
         };
         let abandoned: Vec<LedgerRecord> = self
--- a/havengrade_router/src/services/members/mod.rs
+++ b/havengrade_router/src/services/members/mod.rs
@@ -10,7 +10,7 @@
 use havengrade_core::{
     ids::{Incarnation, VmId},
     membership::{Heartbeat, Member, Membership},
-    quarantine::QuarantineNews,
+    quarantine::QuarantineReport,
 };
 use havengrade_rpc::peers::{
     AccountUse, EndpointLoad, EvidenceTally, PeerFetch, PeerHeartbeat, PeerRecords, PeerReply, PeerRequest,
@@ -221,10 +221,10 @@
     }
 
     /// What there is to tell of requests that crash endpoints.
-    fn own_quarantine(&self, now: SystemTime) -> Option<QuarantineNews> {
+    fn own_quarantine(&self, now: SystemTime) -> Option<QuarantineReport> {
         let mut quarantine = self.cx.shared.quarantine();
         quarantine.prune(now);
-        quarantine.is_watching().then(|| quarantine.tell(now))
+        quarantine.needs_fingerprints().then(|| quarantine.next_report(now))
     }
 
     fn own_reports(&self) -> Vec<EndpointLoad> {
@@ -347,7 +347,7 @@
             let _ = service.cast(EndpointsMessage::Relayed(loads.into_iter().map(from_load).collect()));
         }
         if let Some(quarantine) = message.quarantine {
-            let changes = self.cx.shared.quarantine().hear(decode_quarantine(quarantine), now);
+            let changes = self.cx.shared.quarantine().merge_report(decode_quarantine(quarantine), now);
             log_changes(&changes);
         }
         self.uses.insert(heartbeat.vm.clone(), message.uses.unwrap_or_default());
@@ -423,5 +423,5 @@
 struct News {
     evidence: Vec<EvidenceTally>,
     loads: Vec<EndpointLoad>,
-    quarantine: Option<QuarantineNews>,
+    quarantine: Option<QuarantineReport>,
 }
--- a/havengrade_router/src/traffic/quarantine.rs
+++ b/havengrade_router/src/traffic/quarantine.rs
@@ -7,8 +7,8 @@
 
 use havengrade_core::{
     config::Endpoint,
-    mark::{RequestMark, VersionMark, mark},
-    quarantine::{KeptHold, Standing, next_trial},
+    fingerprint::{RequestFingerprint, VersionFingerprint, fingerprint},
+    quarantine::{QuarantineEntry, QuarantineStatus, next_trial},
 };
 use hyper::StatusCode;
 use tokio::time::{sleep, timeout};
@@ -31,8 +31,8 @@
 /// A request on its way, with what it and the version that runs it are known by.
 pub(crate) struct Watched<'a> {
     job: &'a Job,
-    mark: RequestMark,
-    version: VersionMark,
+    mark: RequestFingerprint,
+    version: VersionFingerprint,
 }
 
 impl<'a> Watched<'a> {
@@ -40,8 +40,8 @@
     pub(crate) fn new(job: &'a Job, version: Option<&str>, path: &str) -> Self {
         let parts = [&job.entry.account, &job.decision.class.id, path].map(str::as_bytes);
         let [account, class, path] = parts;
-        let version = mark(&[version.unwrap_or_default().as_bytes()]);
-        Self { job, mark: mark(&[account, class, path, &job.body]), version }
+        let version = fingerprint(&[version.unwrap_or_default().as_bytes()]);
+        Self { job, mark: fingerprint(&[account, class, path, &job.body]), version }
     }
 
     /// Lets the request be sent, or tells why it is not.
@@ -51,14 +51,14 @@
         loop {
             let now = self.job.now();
             judge(cx, now);
-            let standing = cx.shared.quarantine().standing(self.mark, now);
+            let standing = cx.shared.quarantine().status(self.mark, now);
             let back_after = match standing {
-                Standing::Free => return Ok(()),
-                Standing::OnTrial(hold) => return self.begin_trial(&hold, now),
-                Standing::Held { back_after } => back_after,
-                Standing::Awaited { known_in } => known_in,
+                QuarantineStatus::Free => return Ok(()),
+                QuarantineStatus::TrialDue(hold) => return self.begin_trial(&hold, now),
+                QuarantineStatus::Quarantined { retry_after } => retry_after,
+                QuarantineStatus::Pending { decided_in } => decided_in,
             };
-            let is_soon = matches!(standing, Standing::Awaited { .. }) && now + back_after < give_up;
+            let is_soon = matches!(standing, QuarantineStatus::Pending { .. }) && now + back_after < give_up;
             if !is_soon {
                 return Err(held(back_after));
             }
@@ -67,13 +67,13 @@
     }
 
     /// Tries a request once more that is held back; here no list tells which VM does, so the others are told.
-    fn begin_trial(&self, hold: &KeptHold, now: SystemTime) -> Result<(), Problem> {
+    fn begin_trial(&self, hold: &QuarantineEntry, now: SystemTime) -> Result<(), Problem> {
         let until = (hold.since + TRIAL_AFTER).duration_since(now).unwrap_or_default();
         if !until.is_zero() {
             return Err(held(until));
         }
         let claimed = next_trial(&[*hold], hold, now).ok_or_else(|| held(MOST_WAIT))?;
-        self.job.cx.shared.quarantine().note_trials(claimed.mark, claimed.trials, claimed.tried);
+        self.job.cx.shared.quarantine().record_trials(claimed.fingerprint, claimed.trials, claimed.last_trial);
         log::info!(request_id = self.job.entry.id.as_str(); "a request that is held back is tried once more");
         Ok(())
     }
@@ -81,7 +81,7 @@
     /// Notes that an endpoint answered the request as a whole.
     pub(crate) fn note_answered(&self) {
         let now = self.job.now();
-        let change = self.job.cx.shared.quarantine().note_answered((self.mark, self.version), now);
+        let change = self.job.cx.shared.quarantine().record_answer((self.mark, self.version), now);
         log_changes(change.as_slice());
     }
 
@@ -90,7 +90,7 @@
         let now = self.job.now();
         let ran_for = now.duration_since(sent).unwrap_or_default();
         let run = (self.mark, self.version);
-        self.job.cx.shared.quarantine().note_broken(run, &endpoint.id, ran_for, now);
+        self.job.cx.shared.quarantine().record_broken_attempt(run, &endpoint.id, ran_for, now);
         let (cx, id, address) = (self.job.cx.clone(), endpoint.id.clone(), endpoint.address);
         let end = cx.end.clone();
         let looking = tokio::spawn(end.run_until_cancelled_owned(async move { look_at(&cx, &id, address).await }));
@@ -107,8 +107,8 @@
     log_look(endpoint, found);
     let now = cx.shared.clock.now();
     match found {
-        Presence::Answers => cx.shared.quarantine().note_there(endpoint),
-        Presence::Refuses => cx.shared.quarantine().note_ended(endpoint, now),
+        Presence::Answers => cx.shared.quarantine().record_endpoint_alive(endpoint),
+        Presence::Refuses => cx.shared.quarantine().record_endpoint_exit(endpoint, now),
         Presence::Silent => {},
     }
     judge(cx, now);
@@ -121,6 +121,6 @@
 
 /// Judges by what is known now.
 pub(crate) fn judge(cx: &Context, now: SystemTime) {
-    let changes = cx.shared.quarantine().judge(now);
+    let changes = cx.shared.quarantine().quarantine_suspects(now);
     log_changes(&changes);
 }
