--- a/havengrade_core/src/config/change.rs
+++ b/havengrade_core/src/config/change.rs
@@ -1,4 +1,4 @@
-//! Changes to the configuration, as they stand in the log.
+//! Configuration changes as they are recorded in the log.
 
 use std::{fmt, time::SystemTime};
 
@@ -9,7 +9,7 @@
     ids::{ChangeId, Offset, VersionId},
 };
 
-/// The kinds of items.
+/// Kind of a configuration item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ScopeKind {
@@ -23,7 +23,7 @@
     Class,
     /// Cascades.
     Cascade,
-    /// Keys for session tokens.
+    /// Keys that sign session tokens.
     SessionKey,
     /// Migration rules.
     Migration,
@@ -50,7 +50,7 @@
     }
 }
 
-/// The smallest part of the configuration that has a revision of its own: one item.
+/// Kind and name of an item; the smallest part of the configuration that has its own revision.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scope {
@@ -66,15 +66,15 @@
     }
 }
 
-/// The revision of its scope that a change was made against.
+/// Revision of its scope that a change is based on, checked for conflicts when the change is replayed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BaseRevision {
-    /// Whatever is there; only for changes that can't conflict, such as a withdrawal.
+    /// Any revision. Accepted only for changes that can't conflict, such as a withdrawal.
     Any,
-    /// The scope had never been filled.
+    /// The scope never contained an item.
     Absent,
-    /// The scope's last change stood at this offset.
+    /// The last change to the scope is at this offset.
     At(Offset),
 }
 
@@ -92,7 +92,7 @@
         /// The item's scope.
         scope: Scope,
     },
-    /// Withdraw a version for good.
+    /// Withdraw a version permanently.
     Withdraw {
         /// Name of the version.
         version: VersionId,
@@ -100,7 +100,7 @@
 }
 
 impl Change {
-    /// The scope that the change touches.
+    /// Returns the scope that the change affects.
     pub fn scope(&self) -> Scope {
         match self {
             Self::Put { item } => item.scope(),
@@ -110,25 +110,25 @@
     }
 }
 
-/// A change with the revision that it was made against.
+/// A change and the revision that it is based on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScopedChange {
-    /// Revision of the scope that the operator saw.
+    /// Revision of the scope when the operator planned the change.
     pub base: BaseRevision,
     /// The change.
     pub change: Change,
 }
 
-/// What an operator asks for: changes that take effect together or not at all.
+/// A transaction of an operator: its changes take effect together or not at all.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRecord {
-    /// Id that stays the same over retries.
+    /// Id that is the same for all retries of the request.
     pub change_id: ChangeId,
-    /// Who made the change.
+    /// Name of the operator or component that made the change.
     pub author: String,
-    /// Why it was made.
+    /// Reason that the author gave.
     pub reason: String,
-    /// When it was made, by the clock of the VM that took it.
+    /// Time at which the VM that accepted the request received it, by that VM's clock.
     pub at: SystemTime,
     /// The changes.
     pub changes: Vec<ScopedChange>,
@@ -140,6 +140,6 @@
 pub enum ConfigRecord {
     /// A change by an operator or by the system itself.
     Change(ChangeRecord),
-    /// The whole configuration as of the offset that it names.
+    /// The whole configuration as of its `next_offset`.
     Snapshot(Box<Config>),
 }
--- a/havengrade_core/src/config/change_file.rs
+++ b/havengrade_core/src/config/change_file.rs
@@ -1,4 +1,4 @@
-//! Change files: what an operator writes, reviews and applies.
+//! Change files, which operators write, review and apply.
 
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu, ensure};
@@ -8,27 +8,27 @@
     Route, Scope, ScopedChange, SessionKey, validate,
 };
 
-/// Why a change file can't be used.
+/// Error of a change file that can't be used.
 #[derive(Debug, Snafu)]
 pub enum ChangeFileError {
     /// The file is not TOML, or a key in it is unknown or of the wrong type.
     #[snafu(display("change file: {source}"))]
     Malformed {
-        /// What the TOML reader says.
+        /// Error of the TOML parser.
         source: toml::de::Error,
     },
-    /// The file holds no change.
+    /// The file contains no changes.
     #[snafu(display("change file: it holds no change; add a table such as [[account]] or [[remove]]"))]
     Empty,
-    /// A scope stands in the file twice.
+    /// A scope occurs in the file more than once.
     #[snafu(display("change file: {}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")))]
     DuplicateScopes {
-        /// One fault a scope.
+        /// One fault for each repeated scope.
         faults: Vec<ConfigFault>,
     },
 }
 
-/// A change file in TOML: the items as they should stand afterwards.
+/// A change file in TOML, which states the items as they are to be after the change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ChangeFile {
@@ -42,7 +42,7 @@
     pub class: Vec<RequestClass>,
     /// Client accounts to create or replace.
     pub account: Vec<Account>,
-    /// Keys for session tokens to create or replace.
+    /// Session keys to create or replace.
     pub session_key: Vec<SessionKey>,
     /// Migration rules to create or replace.
     pub migration: Vec<MigrationRule>,
@@ -54,23 +54,23 @@
     pub remove: Vec<Scope>,
 }
 
-/// How one scope differs between the configuration in force and a change file.
+/// Difference that a change makes to the item of one scope.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemDiff {
     /// The scope.
     pub scope: Scope,
-    /// The item in force, if there is one.
+    /// The item in the active configuration, if there is one.
     pub before: Option<Item>,
-    /// The item afterwards, unless it is removed.
+    /// The item after the change, unless it is removed.
     pub after: Option<Item>,
 }
 
 impl ChangeFile {
-    /// Reads a change file.
+    /// Parses a change file.
     ///
     /// # Errors
     ///
-    /// [`ChangeFileError`] names the key at fault and what to do about it.
+    /// The text of a [`ChangeFileError`] names the faulty key and how to correct it.
     ///
     /// ```
     /// use havengrade_core::config::ChangeFile;
@@ -88,7 +88,7 @@
         Ok(file)
     }
 
-    /// The changes that lead from the configuration to the file, each with its base.
+    /// Returns the changes that turn the configuration into the state in the file, each with its base revision.
     pub fn changes_against(&self, cfg: &Config) -> Vec<ScopedChange> {
         let differs = |change: &Change| match change {
             Change::Put { item } => cfg.item(&item.scope()).as_ref() != Some(item),
@@ -118,7 +118,7 @@
 }
 
 impl ItemDiff {
-    /// How the changes would alter the configuration, a scope each.
+    /// Returns the difference that each of the changes would make to the configuration.
     pub fn for_changes(cfg: &Config, changes: &[ScopedChange]) -> Vec<Self> {
         let after = |change: &Change| match change {
             Change::Put { item } => Some(item.clone()),
--- a/havengrade_core/src/config/items.rs
+++ b/havengrade_core/src/config/items.rs
@@ -1,4 +1,4 @@
-//! The items that operators configure, each a plain struct.
+//! Items that operators configure.
 
 use std::net::SocketAddr;
 
@@ -15,9 +15,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// Name of the client account; it is also the part of its key before the dot.
+    /// Name of the client account, which is also the part of its key before the dot.
     pub id: AccountId,
-    /// SHA-256 of the whole key, in hexadecimal.
+    /// SHA-256 digest of the whole key, in hexadecimal.
     pub key_sha256: String,
     /// Versions that the client account allows: `model@version`, or `model@*` for all of a model.
     #[serde(default)]
@@ -25,11 +25,11 @@
     /// Request classes that the client account may use.
     #[serde(default)]
     pub classes: Vec<ClassId>,
-    /// Largest number of requests in progress at once over all VMs.
+    /// Maximum number of concurrent requests over all VMs.
     pub max_concurrent: u32,
-    /// Largest number of requests started in a second over all VMs.
+    /// Maximum rate of new requests over all VMs.
     pub requests_per_second: u32,
-    /// Share of a contended endpoint relative to the other client accounts.
+    /// Weight of the client account relative to others when they compete for an endpoint.
     #[serde(default = "default_weight")]
     pub weight: u32,
 }
@@ -45,7 +45,7 @@
     /// The version may receive new work.
     #[default]
     Active,
-    /// The version receives no new work, for good.
+    /// The version never receives new work again.
     Withdrawn,
 }
 
@@ -57,11 +57,11 @@
     pub id: VersionId,
     /// Name of the model.
     pub model: ModelId,
-    /// Cost of a thousand input tokens.
+    /// Cost per 1000 input tokens.
     pub input_cost_micros: Micros,
-    /// Cost of a thousand output tokens.
+    /// Cost per 1000 output tokens.
     pub output_cost_micros: Micros,
-    /// Quality expected before any answer has been rated.
+    /// Expected quality while no answer has been rated.
     pub prior_quality: Permille,
     /// Whether the version may receive new work.
     #[serde(default)]
@@ -72,9 +72,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind", deny_unknown_fields)]
 pub enum EndpointKind {
-    /// A model engine that has these versions loaded.
+    /// A model engine.
     Engine {
-        /// Versions that the engine can serve.
+        /// Versions that the engine has loaded.
         versions: Vec<VersionId>,
     },
     /// A plain service.
@@ -82,7 +82,7 @@
         /// Name of the plain service.
         service: ServiceId,
     },
-    /// The home-grown scripts that still serve a class or a client account.
+    /// The legacy scripts that still serve a class or a client account during the migration.
     Scripts,
 }
 
@@ -91,16 +91,16 @@
 pub struct Endpoint {
     /// Name of the endpoint.
     pub id: EndpointId,
-    /// IP number and port at which it answers.
+    /// IP address and port on which it accepts requests.
     pub address: SocketAddr,
-    /// Failure domain in which it stands.
+    /// Failure domain of the endpoint.
     pub failure_domain: DomainId,
-    /// Requests that it can run at once.
+    /// Number of requests that it can run concurrently.
     pub capacity: u32,
-    /// Whether it checks the fence of an order.
+    /// Whether it rejects requests with an outdated fencing token.
     #[serde(default)]
     pub checks_fence: bool,
-    /// Whether it recognises a repeated idempotency key and answers it without a second run.
+    /// Whether it recognises a repeated idempotency key and answers it without running the request again.
     #[serde(default)]
     pub deduplicates: bool,
     /// What it serves.
@@ -108,29 +108,29 @@
     pub kind: EndpointKind,
 }
 
-/// A class of requests: how urgent they are and whether they may be repeated.
+/// A class of requests, which sets their priority, deadline and whether they may be repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestClass {
     /// Name of the class.
     pub id: ClassId,
-    /// Priority; 0 comes first.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Time from arrival in which the answer must be complete, in milliseconds.
+    /// Time from arrival by which the answer must be complete, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether running a request twice does no harm.
+    /// Whether requests are idempotent, so that running one twice does no harm.
     pub repeatable: bool,
-    /// Whether an answer is kept in the log, so that its caller can fetch it from any VM, also when the one
-    /// that gave it is gone. A request in progress ends with its VM, and may be asked again.
+    /// Whether answers are stored in the log, so that a caller can fetch its answer from any VM after the VM
+    /// that produced it has gone. A request in progress is lost with its VM, and the caller may send it again.
     #[serde(default)]
     pub durable: bool,
-    /// Cascade that answers the class; none for classes of plain services.
+    /// Cascade that answers the class; `None` for classes of plain services.
     #[serde(default)]
     pub cascade: Option<CascadeId>,
-    /// Whether sessions of the class keep their version.
+    /// Whether the class has session affinity: all requests of a session go to the same version.
     #[serde(default)]
     pub pins_sessions: bool,
-    /// Time for which a session lasts, in seconds.
+    /// Lifetime of a session, in seconds.
     #[serde(default = "default_session_s")]
     pub session_s: u64,
 }
@@ -139,20 +139,20 @@
     24 * 3600
 }
 
-/// A cascade from cheap to strong versions.
+/// A cascade that tries cheap versions first and escalates to stronger ones.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cascade {
     /// Name of the cascade.
     pub id: CascadeId,
-    /// Versions from cheap to strong.
+    /// Versions, from the cheapest to the strongest.
     pub steps: Vec<VersionId>,
-    /// Quality that an answer should reach.
+    /// Target quality of an answer.
     pub quality_target: Permille,
-    /// Share of requests that try a version for its evidence.
+    /// Share of requests that are used for exploration: they try a version to collect evidence about it.
     #[serde(default)]
     pub explore: Permille,
-    /// Whether a whole answer is rated before it is given, and a poor one escalated.
+    /// Whether a non-streamed answer is rated before it is returned, and a poor one escalated.
     #[serde(default)]
     pub check_answers: bool,
 }
@@ -163,40 +163,40 @@
 pub struct SessionKey {
     /// Name of the key, carried in each token.
     pub id: String,
-    /// Secret of the key, in hexadecimal.
+    /// Secret, in hexadecimal.
     pub secret_hex: String,
-    /// Whether new tokens are signed with it; the others only verify.
+    /// Whether new tokens are signed with it; other keys only verify tokens.
     pub signs: bool,
 }
 
-/// Who serves a class or a client account during the migration.
+/// Which system serves a class or a client account during the migration from the legacy scripts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "state", deny_unknown_fields)]
 pub enum MigrationState {
-    /// The scripts at this endpoint still serve it.
+    /// The legacy scripts still serve it.
     Scripts {
-        /// Name of the scripts' endpoint.
+        /// Endpoint of the scripts.
         endpoint: EndpointId,
     },
     /// The router serves it.
     Moved,
 }
 
-/// A migration rule; one with an account goes before one without.
+/// A migration rule; a rule for one client account takes precedence over the rule for the whole class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MigrationRule {
-    /// Class that the rule is about.
+    /// Class that the rule applies to.
     pub class: ClassId,
-    /// Client account that the rule is about; all of them where absent.
+    /// Client account that the rule applies to; all client accounts if absent.
     #[serde(default)]
     pub account: Option<AccountId>,
-    /// Who serves it.
+    /// Which system serves it.
     #[serde(flatten)]
     pub state: MigrationState,
 }
 
 impl MigrationRule {
-    /// Name of the rule, `class` or `class/account`.
+    /// Returns the name of the rule, `class` or `class/account`.
     pub fn name(&self) -> String {
         match &self.account {
             Some(account) => format!("{}/{account}", self.class),
@@ -205,45 +205,45 @@
     }
 }
 
-/// How far a roll-out has come.
+/// State of a roll-out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutState {
-    /// The roll-out serves the share of its present step.
+    /// The new version receives the traffic share of the current step.
     #[default]
     Running,
-    /// The roll-out takes no new sessions to the new version until it is resumed.
+    /// The new version receives no new sessions until the roll-out is resumed.
     Paused,
-    /// The evidence spoke against the new version, which receives no new sessions.
+    /// The evidence was against the new version, which receives no new sessions.
     Halted,
 }
 
-/// A roll-out of a new version in the place of an old one.
+/// A roll-out that replaces a version by a new one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rollout {
     /// Name of the roll-out.
     pub id: RolloutId,
-    /// Version that it replaces.
+    /// Version that is replaced.
     pub from: VersionId,
-    /// Version that it brings.
+    /// Version that replaces it.
     pub to: VersionId,
-    /// Shares of the traffic, step by step.
+    /// Traffic share of the new version at each step.
     pub steps: Vec<Permille>,
-    /// Index of the present step.
+    /// Index of the current step.
     #[serde(default)]
     pub step: usize,
-    /// Answers of the new version, since the first step, that each step needs before the next one begins
-    /// by itself; 0 leaves every step to the operators.
+    /// Number of answers of the new version, counted from the first step, that each step needs before the
+    /// roll-out advances automatically; with 0, operators start every step.
     #[serde(default)]
     pub step_evidence: u64,
-    /// How far it has come.
+    /// State of the roll-out.
     #[serde(default)]
     pub state: RolloutState,
 }
 
 impl Rollout {
-    /// Share of new sessions and requests that go to the new version now.
+    /// Returns the current share of new sessions and requests that go to the new version.
     pub fn share(&self) -> Permille {
         match self.state {
             RolloutState::Running => self.steps.get(self.step).copied().unwrap_or(0),
@@ -252,51 +252,51 @@
     }
 }
 
-/// The shape of a published route's answers.
+/// Format of a published route's answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteAnswers {
-    /// One body each.
+    /// One body for each answer.
     #[default]
     Whole,
     /// A stream of numbered events.
     Events,
-    /// A stream of numbered events that may go on at another endpoint.
+    /// A stream of numbered events that another endpoint can resume.
     ResumableEvents,
 }
 
-/// A published route: existing HTTP requests that pass unchanged to the endpoints of a plain service.
+/// A published route, which forwards existing HTTP requests unchanged to the endpoints of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
     /// Name of the route.
     pub id: String,
-    /// Host that callers name, without a port.
+    /// Host name in the requests, without a port.
     pub host: String,
-    /// What the path begins with; it begins and ends with a slash, and the longest one counts.
+    /// Path prefix, which begins and ends with a slash; the route with the longest matching prefix is used.
     pub path_prefix: String,
-    /// Plain service that answers.
+    /// Plain service that answers the requests.
     pub service: ServiceId,
-    /// Whether running a request twice does no harm.
+    /// Whether requests are idempotent, so that running one twice does no harm.
     #[serde(default)]
     pub repeatable: bool,
-    /// Shape of the answers.
+    /// Format of the answers.
     #[serde(default)]
     pub answers: RouteAnswers,
-    /// Longest time for which a request may be held, in milliseconds.
+    /// Maximum time for which a request may be held, in milliseconds.
     pub time_limit_ms: u64,
-    /// Time in which an answer, or the first event of one, should be there, in milliseconds.
+    /// Target time to the answer or to its first event, in milliseconds.
     pub target_ms: u64,
-    /// Longest pause between two events that counts as in time, in milliseconds.
+    /// Target for the longest pause between two events, in milliseconds.
     #[serde(default)]
     pub pause_target_ms: Option<u64>,
-    /// Priority; 0 comes first.
+    /// Priority; 0 is the most urgent.
     #[serde(default)]
     pub priority: u8,
-    /// Most endpoints that one request may be sent to.
+    /// Maximum number of endpoints that one request may be sent to.
     #[serde(default = "default_tries")]
     pub max_tries: u32,
-    /// Whether requests need no key.
+    /// Whether the route accepts requests without a key.
     #[serde(default)]
     pub public: bool,
 }
@@ -330,7 +330,7 @@
 }
 
 impl Item {
-    /// The scope that the item fills.
+    /// Returns the scope of the item.
     pub fn scope(&self) -> Scope {
         let (kind, name) = match self {
             Self::Account(item) => (ScopeKind::Account, item.id.clone()),
@@ -346,7 +346,7 @@
         Scope { kind, name }
     }
 
-    /// The item as it may be shown: without the secret of a session key.
+    /// Returns the item for display, with the secret of a session key redacted.
     pub fn without_secrets(self) -> Self {
         match self {
             Self::SessionKey(key) => Self::SessionKey(SessionKey { secret_hex: REDACTED.into(), ..key }),
@@ -355,5 +355,5 @@
     }
 }
 
-/// What is shown in the place of a secret.
+/// Text that is shown in place of a secret.
 const REDACTED: &str = "(hidden)";
--- a/havengrade_core/src/config/mod.rs
+++ b/havengrade_core/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration: items, changes to them, and their replay from the log.
+//! The configuration: its items, changes to them, and the replay of changes from the log.
 
 mod change;
 mod change_file;
--- a/havengrade_core/src/config/replay.rs
+++ b/havengrade_core/src/config/replay.rs
@@ -1,4 +1,4 @@
-//! Replay of the configuration stream: which records take effect.
+//! Replay of the configuration log, which decides which records take effect.
 
 use std::fmt;
 
@@ -16,14 +16,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VoidReason {
-    /// The scope had been changed since the operator saw it.
+    /// The scope was changed after the revision that the change is based on.
     Conflict {
         /// The scope.
         scope: Scope,
-        /// The offset of its last change.
+        /// Offset of its last change.
         changed_at: Option<Offset>,
     },
-    /// The configuration would not have been valid.
+    /// The change would make the configuration invalid.
     Invalid(Vec<ConfigFault>),
 }
 
@@ -42,26 +42,26 @@
     }
 }
 
-/// What a record did.
+/// Result of the replay of one record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplayOutcome {
     /// The change took effect.
     Effective,
     /// The change had no effect.
     Void(VoidReason),
-    /// A change with this id had been seen before.
+    /// A change with this id was replayed before.
     Duplicate(ChangeId),
-    /// The snapshot was taken over.
+    /// The configuration was replaced by the snapshot.
     Restored,
-    /// The record stands before what is known already, or is a snapshot that is not needed.
+    /// The record was skipped: it was replayed before, or it is a snapshot without newer records.
     Skipped,
 }
 
 impl Config {
-    /// Replays the record that stands at an offset.
+    /// Replays the record at an offset.
     ///
-    /// The result depends only on the records and their order. A record that is older than what has
-    /// been replayed is passed over, so the configuration only moves forward.
+    /// The result depends only on the records and their order. A record below `next_offset` is skipped, so the
+    /// configuration never goes back to an older state.
     pub fn replay(&mut self, offset: Offset, record: &ConfigRecord) -> ReplayOutcome {
         match record {
             ConfigRecord::Snapshot(snapshot) => self.restore(offset, snapshot),
@@ -78,7 +78,7 @@
             *self = snapshot.clone();
             return ReplayOutcome::Restored;
         }
-        // A node that is past the snapshot has replayed all that it holds.
+        // A VM that is ahead of the snapshot has already replayed all changes in it.
         if offset == self.next_offset {
             self.next_offset = offset + 1;
         }
@@ -101,11 +101,12 @@
         effect
     }
 
-    /// The configuration with the record's changes, or why they can't take effect.
+    /// Returns the configuration with the record's changes applied.
     ///
     /// # Errors
     ///
-    /// A conflict where a scope's base is not its present revision, else the faults of the result.
+    /// [`VoidReason::Conflict`] if a scope's base is not its current revision, otherwise the faults of the resulting
+    /// configuration.
     pub fn try_apply(&self, offset: Offset, record: &ChangeRecord) -> Result<Config, VoidReason> {
         for scoped in &record.changes {
             self.check_base(&scoped.change, scoped.base)?;
@@ -124,19 +125,19 @@
         if faults.is_empty() { Ok(next) } else { Err(VoidReason::Invalid(faults)) }
     }
 
-    /// All faults of the configuration; a configuration that was replayed has none.
+    /// Returns all faults of the configuration; a replayed configuration has none.
     pub fn faults(&self) -> Vec<ConfigFault> {
         validate::all(self)
     }
 
     fn check_base(&self, change: &Change, base: BaseRevision) -> Result<(), VoidReason> {
         let scope = change.scope();
-        let present = self.base_revision(&scope);
-        let withdraws = matches!(change, Change::Withdraw { .. });
-        if base == present || (base == BaseRevision::Any && withdraws) {
+        let current = self.base_revision(&scope);
+        let is_withdrawal = matches!(change, Change::Withdraw { .. });
+        if base == current || (base == BaseRevision::Any && is_withdrawal) {
             return Ok(());
         }
-        let changed_at = match present {
+        let changed_at = match current {
             BaseRevision::At(offset) => Some(offset),
             BaseRevision::Any | BaseRevision::Absent => None,
         };
@@ -185,7 +186,7 @@
         }
     }
 
-    /// The item in a scope, if it is filled.
+    /// Returns the item of a scope, if it exists.
     pub fn item(&self, scope: &Scope) -> Option<Item> {
         let name = &scope.name;
         match scope.kind {
--- a/havengrade_core/src/config/state.rs
+++ b/havengrade_core/src/config/state.rs
@@ -1,4 +1,4 @@
-//! The configuration in force and the indexes that decisions read.
+//! The active configuration, and the indexes that routing decisions use.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -13,10 +13,10 @@
     ids::{AccountId, CascadeId, ChangeId, ClassId, EndpointId, Offset, RolloutId, ServiceId, VersionId},
 };
 
-/// Change ids that are remembered, so that a late retry is recognised.
+/// Number of recent change ids that are kept to recognise late retries.
 pub(crate) const MAX_REMEMBERED_CHANGES: usize = 65_536;
 
-/// What became of a change.
+/// Outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeOutcome {
@@ -28,13 +28,12 @@
 
 /// The configuration after all records up to an offset.
 ///
-/// Its maps share what two copies have in common, so that a copy costs next to nothing however much
-/// there is.
+/// The maps are persistent data structures, so that cloning is cheap whatever the size of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// Offset after the last record that was replayed.
+    /// Offset after the last replayed record.
     pub next_offset: Offset,
-    /// Offset of the last change that took effect; none before the first.
+    /// Offset of the last change that took effect; `None` before the first one.
     pub revision: Option<Offset>,
     /// Client accounts by name.
     pub accounts: OrdMap<AccountId, Account>,
@@ -46,26 +45,26 @@
     pub classes: OrdMap<ClassId, RequestClass>,
     /// Cascades by name.
     pub cascades: OrdMap<CascadeId, Cascade>,
-    /// Keys for session tokens by name.
+    /// Session keys by name.
     pub session_keys: OrdMap<String, SessionKey>,
     /// Migration rules by name.
     pub migrations: OrdMap<String, MigrationRule>,
     /// Roll-outs by name.
     pub rollouts: OrdMap<RolloutId, Rollout>,
-    /// Published routes by name; snapshots of before there were any have none.
+    /// Published routes by name; absent from snapshots of builds that did not support them.
     #[serde(default)]
     pub routes: OrdMap<String, Route>,
-    /// Offset of the last change of each scope, removed ones included.
+    /// Offset of the last change to each scope, including scopes whose item was removed.
     #[serde(with = "scope_list")]
     pub(crate) revisions: OrdMap<Scope, Offset>,
-    /// What became of the changes that are remembered.
+    /// Outcomes of recent changes.
     pub(crate) outcomes: SharedMap<ChangeId, ChangeOutcome>,
-    /// The remembered changes, oldest first.
+    /// Ids of the changes in `outcomes`, oldest first.
     pub(crate) remembered: Vector<ChangeId>,
 }
 
 impl Config {
-    /// The base that a change to the scope must name now.
+    /// Returns the base revision that a change to the scope must currently have.
     ///
     /// ```
     /// use havengrade_core::config::{BaseRevision, Config, Scope, ScopeKind};
@@ -80,34 +79,34 @@
         }
     }
 
-    /// The scopes that are filled or were removed, with the offset of their last change.
+    /// Iterates over all scopes, including those whose item was removed, with the offset of their last change.
     pub fn scopes(&self) -> impl Iterator<Item = (&Scope, Offset)> {
         self.revisions.iter().map(|(scope, offset)| (scope, *offset))
     }
 
-    /// What became of a change, if it is remembered.
+    /// Returns the outcome of a change, if it is still kept.
     pub fn change_outcome(&self, change_id: &str) -> Option<&ChangeOutcome> {
         self.outcomes.get(change_id)
     }
 
-    /// The migration rule for a client account's requests of a class.
+    /// Returns the migration rule for a client account's requests of a class.
     pub fn migration_rule(&self, class: &str, account: &str) -> Option<&MigrationRule> {
         self.migrations.get(&format!("{class}/{account}")).or_else(|| self.migrations.get(class))
     }
 
-    /// The key that signs new session tokens.
+    /// Returns the key that signs new session tokens.
     pub fn signing_key(&self) -> Option<&SessionKey> {
         self.session_keys.values().rfind(|key| key.signs)
     }
 
-    /// Whether the version exists and may receive new work.
+    /// Returns whether the version exists and may receive new work.
     pub fn is_active(&self, version: &str) -> bool {
         self.versions.get(version).is_some_and(|version| version.state == VersionState::Active)
     }
 }
 
 impl Account {
-    /// Whether the client account allows the version.
+    /// Returns whether the client account allows the version.
     ///
     /// ```
     /// # let account: havengrade_core::config::Account = toml::from_str(r#"
@@ -130,14 +129,14 @@
     }
 }
 
-/// Which endpoints serve what.
+/// Endpoints by the version or plain service that they serve.
 #[derive(Debug, Default)]
-struct Index {
+struct EndpointIndex {
     by_version: HashMap<VersionId, Vec<EndpointId>>,
     by_service: HashMap<ServiceId, Vec<EndpointId>>,
 }
 
-impl Index {
+impl EndpointIndex {
     fn new(endpoints: &OrdMap<EndpointId, Endpoint>) -> Self {
         let mut index = Self::default();
         for endpoint in endpoints.values() {
@@ -157,22 +156,22 @@
     }
 }
 
-/// A configuration with the indexes that make a decision cheap.
+/// A configuration with the indexes that make routing decisions cheap.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     /// The configuration.
     pub config: Config,
-    index: Arc<Index>,
+    index: Arc<EndpointIndex>,
 }
 
 impl Catalog {
-    /// Builds the indexes of a configuration.
+    /// Creates a catalog and builds the indexes of the configuration.
     pub fn new(config: Config) -> Self {
-        let index = Arc::new(Index::new(&config.endpoints));
+        let index = Arc::new(EndpointIndex::new(&config.endpoints));
         Self { config, index }
     }
 
-    /// The catalog of a later configuration; the indexes stay where the endpoints are the same.
+    /// Returns the catalog of a later configuration; the indexes are reused if the endpoints are unchanged.
     #[must_use]
     pub fn with_config(&self, config: Config) -> Self {
         if self.shares_endpoints_with(&config) {
@@ -181,23 +180,23 @@
         Self::new(config)
     }
 
-    /// Whether a configuration shares this one's endpoints.
+    /// Returns whether a configuration has the same endpoint map as this one.
     pub fn shares_endpoints_with(&self, config: &Config) -> bool {
         self.config.endpoints.ptr_eq(&config.endpoints)
     }
 
-    /// Endpoints that have the version loaded.
+    /// Returns the endpoints that have the version loaded.
     pub fn engines_for(&self, version: &str) -> &[EndpointId] {
         self.index.by_version.get(version).map_or(&[], Vec::as_slice)
     }
 
-    /// Endpoints of the plain service.
+    /// Returns the endpoints of the plain service.
     pub fn endpoints_of(&self, service: &str) -> &[EndpointId] {
         self.index.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 }
 
-/// Scopes as a list, since JSON knows only strings as keys.
+/// Serialises a map with scopes as keys as a list of pairs, since keys in JSON must be strings.
 mod scope_list {
     use imbl::OrdMap;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
--- a/havengrade_core/src/config/validate.rs
+++ b/havengrade_core/src/config/validate.rs
@@ -1,4 +1,4 @@
-//! What makes a configuration valid, with a remedy for each fault.
+//! Validation of configurations, with a remedy for each fault.
 
 use std::fmt;
 
@@ -15,9 +15,9 @@
 /// A fault of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigFault {
-    /// Field that is at fault, from its scope down.
+    /// Path of the faulty field, beginning with its scope.
     pub field: String,
-    /// What is wrong and what to do about it.
+    /// What is wrong and how to correct it.
     pub remedy: String,
 }
 
@@ -27,14 +27,14 @@
     }
 }
 
-/// Largest share or score, in thousandths.
+/// Maximum share or score, in thousandths.
 const MAX_PERMILLE: u32 = 1000;
 
 fn fault(field: String, remedy: impl Into<String>) -> ConfigFault {
     ConfigFault { field, remedy: remedy.into() }
 }
 
-/// Faults that lie in the step from one configuration to the next.
+/// Returns the faults of a change that depend on the configuration before it.
 pub(crate) fn transition(before: &Config, change: &Change) -> Vec<ConfigFault> {
     let scope = change.scope();
     match change {
@@ -59,10 +59,10 @@
     }
 }
 
-/// Faults that a change brings into a configuration that was valid before it.
+/// Returns the faults that a change introduces into a configuration that was valid before it.
 ///
-/// A new or replaced item is looked at by itself, with what it names. What names it is looked at only
-/// where a change can take something away from it.
+/// A new or replaced item is checked together with the items that it refers to. Items that refer to it are checked
+/// only if the change can break their references.
 pub(crate) fn change(cfg: &Config, change: &Change) -> Vec<ConfigFault> {
     let mut faults = Vec::new();
     match change {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Checks what a replaced item may have taken something away from.
+/// Checks the items whose references a replaced item may have broken.
 fn check_dependents(cfg: &Config, item: &Item, faults: &mut Vec<ConfigFault>) {
     match item {
         Item::Endpoint(_) => {
@@ -102,7 +102,7 @@
     }
 }
 
-/// All faults of a configuration.
+/// Returns all faults of a configuration.
 pub(crate) fn all(cfg: &Config) -> Vec<ConfigFault> {
     let mut faults = Vec::new();
     check_all(cfg, &mut faults);
@@ -144,11 +144,11 @@
         }
     }
     for version in &item.versions {
-        let known = match version.strip_suffix("@*") {
+        let is_known = match version.strip_suffix("@*") {
             Some(model) => cfg.versions.values().any(|known| known.model == model),
             None => cfg.versions.contains_key(version),
         };
-        if !known {
+        if !is_known {
             faults.push(fault(field("versions"), format!("names {version}, which does not exist; add it first")));
         }
     }
@@ -235,8 +235,8 @@
     if item.from == item.to {
         faults.push(fault(field("to"), "must differ from `from`"));
     }
-    let rising = item.steps.windows(2).all(|pair| pair[0] < pair[1]);
-    if item.steps.is_empty() || !rising || item.steps.iter().any(|step| *step > MAX_PERMILLE) {
+    let is_rising = item.steps.windows(2).all(|pair| pair[0] < pair[1]);
+    if item.steps.is_empty() || !is_rising || item.steps.iter().any(|step| *step > MAX_PERMILLE) {
         faults.push(fault(field("steps"), "must be rising shares of up to 1000 thousandths"));
     }
     if item.step >= item.steps.len() {
@@ -277,10 +277,10 @@
 }
 
 fn check_session_key(item: &SessionKey, faults: &mut Vec<ConfigFault>) {
-    /// Fewest bytes of a secret that signs sessions.
-    const MIN_SECRET: usize = 16;
-    let long_enough = hex::decode(&item.secret_hex).is_ok_and(|secret| secret.len() >= MIN_SECRET);
-    if !long_enough {
+    /// Minimum length of a session key's secret, in bytes.
+    const MIN_SECRET_BYTES: usize = 16;
+    let is_long_enough = hex::decode(&item.secret_hex).is_ok_and(|secret| secret.len() >= MIN_SECRET_BYTES);
+    if !is_long_enough {
         let field = format!("session_key {}.secret_hex", item.id);
         faults.push(fault(field, "must be 32 hexadecimal digits or more"));
     }
@@ -289,7 +289,7 @@
     }
 }
 
-/// Faults that a change file can show before any record is written.
+/// Returns a fault for each repeated occurrence of a scope in a change file.
 pub(crate) fn duplicate_scopes(scopes: &[Scope]) -> Vec<ConfigFault> {
     let mut seen = std::collections::BTreeSet::new();
     scopes
@@ -300,7 +300,7 @@
 }
 
 impl ScopeKind {
-    /// All kinds, in the order in which they are shown.
+    /// All kinds, in display order.
     pub const ALL: [Self; 9] = [
         Self::Account,
         Self::Version,
--- a/havengrade_core/tests/config_replay.rs
+++ b/havengrade_core/tests/config_replay.rs
@@ -1,4 +1,4 @@
-//! Replay of the configuration: any records, in any order, from any number of operators.
+//! Replay of arbitrary configuration records of several operators.
 #![allow(clippy::unwrap_used)]
 
 use std::time::SystemTime;
@@ -87,25 +87,25 @@
     ]
 }
 
-/// A change against the newest revision, or against one that may be old.
+/// A change that is based on the current revision, or on one that may be outdated.
 #[derive(Clone, Debug)]
 struct Step {
     change: Change,
-    is_late: bool,
+    has_stale_base: bool,
     change_id: u8,
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    (change(), prop::bool::weighted(0.2), any::<u8>()).prop_map(|(change, is_late, change_id)| Step {
+    (change(), prop::bool::weighted(0.2), any::<u8>()).prop_map(|(change, has_stale_base, change_id)| Step {
         change,
-        is_late,
+        has_stale_base,
         change_id,
     })
 }
 
 fn record(step: &Step, config: &Config) -> ConfigRecord {
     let scope = step.change.scope();
-    let base = if step.is_late { BaseRevision::Absent } else { config.base_revision(&scope) };
+    let base = if step.has_stale_base { BaseRevision::Absent } else { config.base_revision(&scope) };
     ConfigRecord::Change(ChangeRecord {
         change_id: step.change_id.to_string(),
         author: "a".into(),
@@ -115,8 +115,8 @@
     })
 }
 
-/// The records that operators wrote, one after another.
-fn write(steps: &[Step]) -> Vec<ConfigRecord> {
+/// Builds the log records of the steps, each based on the configuration after the ones before it.
+fn build_log(steps: &[Step]) -> Vec<ConfigRecord> {
     let mut config = Config::default();
     let mut records = Vec::new();
     for (offset, step) in (0..).zip(steps) {
@@ -136,9 +136,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// What is in force is always valid, although each change is checked only where it can do harm.
+    /// The active configuration is always valid, although each change is validated only where it can break something.
     #[test]
-    fn configuration_in_force_has_no_faults(steps in prop::collection::vec(step(), 1..60)) {
+    fn active_configuration_has_no_faults(steps in prop::collection::vec(step(), 1..60)) {
         let mut config = Config::default();
         for (offset, step) in (0..).zip(&steps) {
             let record = record(step, &config);
@@ -147,18 +147,18 @@
         }
     }
 
-    /// A withdrawn version never serves again, whatever operators send.
+    /// A withdrawn version never becomes active again, whatever changes follow.
     #[test]
     fn withdrawn_versions_stay_withdrawn(steps in prop::collection::vec(step(), 1..60)) {
         let mut config = Config::default();
         let mut withdrawn = Vec::new();
         for (offset, step) in (0..).zip(&steps) {
             let record = record(step, &config);
-            let effect = config.replay(offset, &record);
-            if let (ReplayOutcome::Effective, Change::Withdraw { version }) = (&effect, &step.change) {
+            let outcome = config.replay(offset, &record);
+            if let (ReplayOutcome::Effective, Change::Withdraw { version }) = (&outcome, &step.change) {
                 withdrawn.push(version.clone());
             }
-            if let (ReplayOutcome::Effective, Change::Remove { scope }) = (&effect, &step.change) {
+            if let (ReplayOutcome::Effective, Change::Remove { scope }) = (&outcome, &step.change) {
                 withdrawn.retain(|version| *version != scope.name);
             }
             for version in &withdrawn {
@@ -167,19 +167,19 @@
         }
     }
 
-    /// Repeats, late peers and snapshots lead every node to the same configuration.
+    /// VMs that replay records repeatedly, late or from a snapshot all reach the same configuration.
     #[test]
-    fn nodes_agree_however_records_reach_them(
+    fn vms_converge_with_repeated_records_and_snapshots(
         steps in prop::collection::vec(step(), 1..40),
-        cut in any::<prop::sample::Index>(),
+        snapshot_index in any::<prop::sample::Index>(),
         repeats in prop::collection::vec(any::<prop::sample::Index>(), 0..10),
     ) {
-        let records = write(&steps);
-        let mut straight = replay(&records);
-        let cut = cut.index(records.len());
-        let snapshot = ConfigRecord::Snapshot(Box::new(replay(&records[..cut])));
-        // The snapshot stands in the log after the records.
-        straight.replay(records.len() as u64, &snapshot);
+        let records = build_log(&steps);
+        let mut in_order = replay(&records);
+        let snapshot_end = snapshot_index.index(records.len());
+        let snapshot = ConfigRecord::Snapshot(Box::new(replay(&records[..snapshot_end])));
+        // In the log, the snapshot follows the records.
+        in_order.replay(records.len() as u64, &snapshot);
         let json = serde_json::to_string(&snapshot).unwrap();
         let mut late = Config::default();
         late.replay(records.len() as u64, &serde_json::from_str(&json).unwrap());
@@ -191,7 +191,7 @@
             }
             late.replay(records.len() as u64, &snapshot);
         }
-        prop_assert_eq!(late, straight);
+        prop_assert_eq!(late, in_order);
     }
 }
 
@@ -199,11 +199,11 @@
 fn removed_version_keeps_its_revision() {
     let mut config = Config::default();
     let scope = Scope { kind: ScopeKind::Version, name: "m@1".into() };
-    let put = Step { change: Change::Put { item: version(1) }, is_late: true, change_id: 1 };
-    let remove = Step { change: Change::Remove { scope: scope.clone() }, is_late: false, change_id: 2 };
-    let late = Step { change_id: 3, ..put.clone() };
+    let put = Step { change: Change::Put { item: version(1) }, has_stale_base: true, change_id: 1 };
+    let remove = Step { change: Change::Remove { scope: scope.clone() }, has_stale_base: false, change_id: 2 };
+    let stale = Step { change_id: 3, ..put.clone() };
     assert_eq!(config.replay(0, &record(&put, &config.clone())), ReplayOutcome::Effective);
     assert_eq!(config.replay(1, &record(&remove, &config.clone())), ReplayOutcome::Effective);
     assert_eq!(config.base_revision(&scope), BaseRevision::At(1));
-    assert!(matches!(config.replay(2, &record(&late, &config.clone())), ReplayOutcome::Void(_)));
+    assert!(matches!(config.replay(2, &record(&stale, &config.clone())), ReplayOutcome::Void(_)));
 }
