--- a/havengrade_core/src/published/seen.rs
+++ b/havengrade_core/src/published/attempt_stats.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     ids::{Incarnation, ServiceId},
-    published::{directory::SoftwareVersion, route::RouteId, times::LoadedTimes},
+    published::{directory::SoftwareVersion, route::RouteId, time_histogram::TimeHistogramByLoad},
 };
 
 /// Stands in the name of a kind of request between the route and the model.
@@ -22,20 +22,20 @@
 
 /// What was seen of a version in one kind of request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct AttemptStats {
     /// Tries that ended, with an answer or without one.
     pub ended: u64,
     /// Tries that ended in an error or a broken answer.
     pub failed: u64,
     /// Tries that ended in an error which is surely the endpoint's own; they are counted as failed as well.
     pub errors: u64,
-    /// Times to the first byte, for the size of the work; where a try was given up, the time that was waited.
-    pub first: LoadedTimes,
-    /// Times between two events of a stream.
-    pub pace: LoadedTimes,
+    /// TimeHistogram to the first byte, for the size of the work; where a try was given up, the time that was waited.
+    pub first: TimeHistogramByLoad,
+    /// TimeHistogram between two events of a stream.
+    pub pace: TimeHistogramByLoad,
 }
 
-impl Seen {
+impl AttemptStats {
     /// A number that grows with each count.
     pub(super) fn weight(&self) -> u64 {
         self.ended + self.first.total() + self.pace.total()
@@ -79,19 +79,19 @@
     /// The kind of request.
     pub route: RouteId,
     /// Its counters.
-    pub seen: Seen,
+    pub seen: AttemptStats,
 }
 
 /// What all runs that are known saw of one version, by kind of request.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Record {
-    by_writer: HashMap<Kind, HashMap<Incarnation, Seen>>,
-    sums: BTreeMap<Kind, Seen>,
+pub(super) struct VersionStats {
+    by_writer: HashMap<Kind, HashMap<Incarnation, AttemptStats>>,
+    sums: BTreeMap<Kind, AttemptStats>,
 }
 
-impl Record {
+impl VersionStats {
     /// Takes the counters of a run; gives what is new in them, since they only grow and older ones say nothing.
-    pub(super) fn merge(&mut self, kind: &str, writer: Incarnation, seen: &Seen) -> Option<Seen> {
+    pub(super) fn merge(&mut self, kind: &str, writer: Incarnation, seen: &AttemptStats) -> Option<AttemptStats> {
         let writers = self.by_writer.entry(kind.to_owned()).or_default();
         let known = writers.entry(writer).or_default();
         if seen.weight() <= known.weight() {
@@ -104,29 +104,29 @@
     }
 
     /// Adds to a run's own counters.
-    pub(super) fn add(&mut self, kind: &str, writer: Incarnation, more: &Seen) {
+    pub(super) fn add(&mut self, kind: &str, writer: Incarnation, more: &AttemptStats) {
         let writers = self.by_writer.entry(kind.to_owned()).or_default();
         writers.entry(writer).or_default().merge(more);
         self.sums.entry(kind.to_owned()).or_default().merge(more);
     }
 
     /// The sums over all runs, by kind.
-    pub(super) fn sums(&self) -> &BTreeMap<Kind, Seen> {
+    pub(super) fn sums(&self) -> &BTreeMap<Kind, AttemptStats> {
         &self.sums
     }
 
     /// The sum of a kind.
-    pub(super) fn sum(&self, kind: &str) -> Option<&Seen> {
+    pub(super) fn sum(&self, kind: &str) -> Option<&AttemptStats> {
         self.sums.get(kind)
     }
 
     /// Tries of all kinds of which it is known how they began.
     pub(super) fn begun(&self) -> u64 {
-        self.sums.values().map(Seen::begun).sum()
+        self.sums.values().map(AttemptStats::begun).sum()
     }
 
     /// A run's own counters, by kind.
-    pub(super) fn own(&self, writer: Incarnation) -> impl Iterator<Item = (&Kind, &Seen)> {
+    pub(super) fn own(&self, writer: Incarnation) -> impl Iterator<Item = (&Kind, &AttemptStats)> {
         self.by_writer.iter().filter_map(move |(kind, writers)| Some((kind, writers.get(&writer)?)))
     }
 
--- a/havengrade_core/src/published/judgement.rs
+++ b/havengrade_core/src/published/halt.rs
@@ -5,10 +5,10 @@
 use crate::{
     ids::Incarnation,
     published::{
-        odds::{self, Turn},
-        order::RolloutOutcome,
-        recent::{HeardRecent, OwnRecent, SeenLately, is_version_to_blame},
-        versions::Versions,
+        answer_window::{LocalAnswerWindow, RecentAnswerCounts, RemoteAnswerCounts, is_version_faulty},
+        likelihood::{self, DegradationTest},
+        rollout_order::RolloutOutcome,
+        version_comparison::VersionComparison,
     },
 };
 
@@ -29,67 +29,67 @@
 const TELLING_ERRORS: u64 = 2;
 /// Why a version gets nothing more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Halt {
+pub enum HaltReason {
     /// Its answers are worse than the old one's.
     Worse,
     /// They were as good, and have turned worse.
-    Turned,
+    Degraded,
     /// It had succeeded, and nearly all its endpoints give errors now.
-    AfterSuccess,
+    FailedAfterSuccess,
 }
 
-impl Halt {
+impl HaltReason {
     /// The reason, for the log.
-    pub fn reason(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Self::Worse => "the new version fails or is slow more often than the old one",
-            Self::Turned => "the new version was as good as the old one and has turned worse",
-            Self::AfterSuccess => "the version had succeeded, and nearly all its endpoints give errors now",
+            Self::Degraded => "the new version was as good as the old one and has turned worse",
+            Self::FailedAfterSuccess => "the version had succeeded, and nearly all its endpoints give errors now",
         }
     }
 }
 
 /// What one VM makes of a version.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Judgement {
+pub(super) struct HaltDetector {
     /// Logarithm of the odds that the version is worse than the old one, by all that was seen.
     odds: f64,
     /// Bets on a turn for the worse before the version succeeds.
-    turn: Turn,
+    turn: DegradationTest,
     /// The same after it, on errors alone.
-    watch: Turn,
-    recent: OwnRecent,
-    heard: HeardRecent,
+    watch: DegradationTest,
+    recent: LocalAnswerWindow,
+    heard: RemoteAnswerCounts,
     /// Why the version gets nothing more; kept, since good answers of later say nothing against it.
-    halt: Option<Halt>,
+    halt: Option<HaltReason>,
 }
 
-impl Judgement {
+impl HaltDetector {
     /// Notes that an endpoint of the new version gave an answer or an error.
     pub(super) fn note(&mut self, endpoint: &str, is_error: bool, now: SystemTime) {
-        self.recent.note(endpoint, is_error, now);
+        self.recent.record(endpoint, is_error, now);
     }
 
     /// What this VM saw lately, for the others to tell whom to blame; where there are hardly any errors, in one sum.
-    pub(super) fn tell(&self, now: SystemTime) -> SeenLately {
-        let seen = self.recent.seen(now);
-        if seen.sum().errors >= TELLING_ERRORS { seen } else { seen.in_sum() }
+    pub(super) fn tell(&self, now: SystemTime) -> RecentAnswerCounts {
+        let seen = self.recent.counts(now);
+        if seen.sum().errors >= TELLING_ERRORS { seen } else { seen.without_endpoints() }
     }
 
     /// Takes what another VM saw lately.
-    pub(super) fn hear(&mut self, from: Incarnation, seen: SeenLately, now: SystemTime) {
-        self.heard.hear(from, seen, now);
+    pub(super) fn hear(&mut self, from: Incarnation, seen: RecentAnswerCounts, now: SystemTime) {
+        self.heard.merge(from, seen, now);
     }
 
     /// Why the version gets nothing more, if so.
     ///
     /// What was found before a success is no longer enough after it: with the old version gone, a mistake costs more.
-    pub(super) fn halt(&self, outcome: RolloutOutcome) -> Option<Halt> {
-        self.halt.filter(|halt| outcome != RolloutOutcome::Succeeded || *halt == Halt::AfterSuccess)
+    pub(super) fn halt(&self, outcome: RolloutOutcome) -> Option<HaltReason> {
+        self.halt.filter(|halt| outcome != RolloutOutcome::Succeeded || *halt == HaltReason::FailedAfterSuccess)
     }
 
     /// Takes it from another VM that the version is to get nothing more; tells whether that is new.
-    pub(super) fn learn(&mut self, halt: Halt, outcome: RolloutOutcome) -> bool {
+    pub(super) fn learn(&mut self, halt: HaltReason, outcome: RolloutOutcome) -> bool {
         let is_news = self.halt(outcome).is_none() && self.halt != Some(halt);
         if is_news {
             self.halt = Some(halt);
@@ -108,7 +108,7 @@
     }
 
     /// Judges the version by what is known now.
-    pub(super) fn judge(&mut self, versions: &mut Versions, outcome: RolloutOutcome, now: SystemTime) {
+    pub(super) fn judge(&mut self, versions: &mut VersionComparison, outcome: RolloutOutcome, now: SystemTime) {
         self.recent.prune(now);
         self.heard.prune(now);
         let fresh = versions.take_fresh();
@@ -120,17 +120,17 @@
             RolloutOutcome::Running => self.turn.bet(compared),
             _ => self.watch.bet_on_errors(compared),
         }
-        self.odds = odds::odds(versions.compared());
+        self.odds = likelihood::log_odds(versions.compared());
         self.halt = self.find_halt(outcome, now).or(self.halt);
     }
 
-    fn find_halt(&self, outcome: RolloutOutcome, now: SystemTime) -> Option<Halt> {
+    fn find_halt(&self, outcome: RolloutOutcome, now: SystemTime) -> Option<HaltReason> {
         match outcome {
-            RolloutOutcome::Running if self.odds > HALT_ODDS => Some(Halt::Worse),
-            RolloutOutcome::Running if self.turn.odds() > TURN_ODDS => Some(Halt::Turned),
+            RolloutOutcome::Running if self.odds > HALT_ODDS => Some(HaltReason::Worse),
+            RolloutOutcome::Running if self.turn.odds() > TURN_ODDS => Some(HaltReason::Degraded),
             RolloutOutcome::Succeeded if self.watch.odds() > WATCH_ODDS => {
-                let is_to_blame = is_version_to_blame(&self.recent.seen(now), &self.heard, WATCH_ERRORS);
-                is_to_blame.then_some(Halt::AfterSuccess)
+                let is_to_blame = is_version_faulty(&self.recent.counts(now), &self.heard, WATCH_ERRORS);
+                is_to_blame.then_some(HaltReason::FailedAfterSuccess)
             },
             _ => None,
         }
--- a/havengrade_core/src/published/odds.rs
+++ b/havengrade_core/src/published/likelihood.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use crate::published::{
+    attempt_stats::{AttemptStats, route_of},
     route::RouteId,
-    seen::{Seen, route_of},
-    times::{LoadedTimes, Times, times_longer},
+    time_histogram::{TimeHistogram, TimeHistogramByLoad, scaled_bucket},
 };
 
 /// Rises of a share that are bet on, in equal parts.
@@ -20,7 +20,7 @@
 /// Share of requests that fail where nothing is known: that of the worst service seen, and not so high that a version
 /// that fails a third of its requests passes for usual.
 const UNKNOWN_SHARE: f64 = 0.1;
-/// Times of the old version below which it is not known what is slow.
+/// TimeHistogram of the old version below which it is not known what is slow.
 const KNOWN_TIMES: u64 = 10;
 /// What is slow, in two ways: slower than a share of the old version's answers, and at least so many times slower than its median,
 /// so that small differences between versions don't count. The first one shows versions of which all answers are somewhat slow,
@@ -64,36 +64,36 @@
 }
 
 /// Failures of the old version, filled up where there are few.
-fn failures(old: &Seen) -> Share {
+fn failures(old: &AttemptStats) -> Share {
     let known = Share { bad: old.failed as f64, of: old.ended as f64 };
     let missing = (KNOWN_ANSWERS - known.of).max(0.0);
     Share { bad: missing.mul_add(UNKNOWN_SHARE, known.bad), of: known.of + missing }
 }
 
 /// The bucket above which an answer is slow in one way, by the old version's times; none where it is not known.
-fn slow_above(old: &Times, (quantile, factor): (f64, f64)) -> Option<usize> {
+fn slow_above(old: &TimeHistogram, (quantile, factor): (f64, f64)) -> Option<usize> {
     if old.total() < KNOWN_TIMES {
         return None;
     }
-    Some(old.quantile(quantile)?.max(times_longer(old.quantile(0.5)?, factor)))
+    Some(old.quantile(quantile)?.max(scaled_bucket(old.quantile(0.5)?, factor)))
 }
 
 /// How many of a version's times are very slow by the old one's.
-pub(super) fn very_slow(new: &LoadedTimes, old: &LoadedTimes) -> u64 {
+pub(super) fn very_slow(new: &TimeHistogramByLoad, old: &TimeHistogramByLoad) -> u64 {
     let [_, very] = SLOW;
-    let slow = |new: &Times, old: &Times| slow_above(old, very).map_or(0, |slow| new.above(slow));
+    let slow = |new: &TimeHistogram, old: &TimeHistogram| slow_above(old, very).map_or(0, |slow| new.count_above(slow));
     slow(&new.light, &old.light) + slow(&new.heavy, &old.heavy)
 }
 
 /// What bets on answers that are slow in one way at one load have won.
-fn won_at(new: &Times, old: &Times, way: (f64, f64)) -> Bets {
+fn won_at(new: &TimeHistogram, old: &TimeHistogram, way: (f64, f64)) -> Bets {
     let Some(slow) = slow_above(old, way) else { return Bets::default() };
-    let share = |times: &Times| Share { bad: times.above(slow) as f64, of: times.total() as f64 };
+    let share = |times: &TimeHistogram| Share { bad: times.count_above(slow) as f64, of: times.total() as f64 };
     won(share(new), usual(share(old)))
 }
 
 /// What bets on slow answers have won, each compared with those of equal load.
-fn won_by_times(new: &LoadedTimes, old: &LoadedTimes) -> [Bets; SLOW.len()] {
+fn won_by_times(new: &TimeHistogramByLoad, old: &TimeHistogramByLoad) -> [Bets; SLOW.len()] {
     SLOW.map(|way| {
         let mut won = won_at(&new.light, &old.light, way);
         add(&mut won, &won_at(&new.heavy, &old.heavy, way));
@@ -102,22 +102,22 @@
 }
 
 /// What bets have won by answers of one kind.
-fn won_by(new: &Seen, old: &Seen) -> Won {
+fn won_by(new: &AttemptStats, old: &AttemptStats) -> Won {
     let failed = Share { bad: new.failed as f64, of: new.ended as f64 };
     won_on(failed, new, old)
 }
 
 /// The same where broken answers don't count: an endpoint that dies breaks all its answers at once, which would win bets that look
 /// for a turn in a few answers.
-fn won_by_errors(new: &Seen, old: &Seen) -> Won {
+fn won_by_errors(new: &AttemptStats, old: &AttemptStats) -> Won {
     won_on(errors(new), new, old)
 }
 
-fn errors(new: &Seen) -> Share {
+fn errors(new: &AttemptStats) -> Share {
     Share { bad: new.errors as f64, of: new.begun() as f64 }
 }
 
-fn won_on(failed: Share, new: &Seen, old: &Seen) -> Won {
+fn won_on(failed: Share, new: &AttemptStats, old: &AttemptStats) -> Won {
     let failed = won(failed, usual(failures(old)));
     let [first, very_late] = won_by_times(&new.first, &old.first);
     let [pace, very_slow] = won_by_times(&new.pace, &old.pace);
@@ -142,7 +142,7 @@
 
 /// Logarithm of the odds that a version is worse than the old one, by all that was seen: for each kind the new version and
 /// the old one.
-pub(super) fn odds<'a>(kinds: impl Iterator<Item = (&'a str, &'a Seen, &'a Seen)>) -> f64 {
+pub(super) fn log_odds<'a>(kinds: impl Iterator<Item = (&'a str, &'a AttemptStats, &'a AttemptStats)>) -> f64 {
     let mut by_route: BTreeMap<&str, [Bet; WAYS]> = BTreeMap::new();
     let mut all = [Bet::None; WAYS];
     for (kind, new, old) in kinds {
@@ -161,7 +161,7 @@
 }
 
 /// What bets have won by answers of one kind on errors alone.
-fn won_by_errors_alone(new: &Seen, old: &Seen) -> Won {
+fn won_by_errors_alone(new: &AttemptStats, old: &AttemptStats) -> Won {
     let mut won = Won::default();
     if let Some(way) = won.first_mut() {
         *way = self::won(errors(new), usual(failures(old)));
@@ -172,26 +172,29 @@
 /// Bets on a version that was as good as the old one and has turned bad since: whatever they have lost is forgotten, so
 /// that good answers from before don't outweigh bad ones.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Turn {
+pub(super) struct DegradationTest {
     all: Won,
     by_route: BTreeMap<RouteId, Won>,
 }
 
-impl Turn {
+impl DegradationTest {
     /// Bets on what was seen anew of some kinds, of the new version and in all of the old one.
-    pub(super) fn bet<'a>(&mut self, kinds: impl Iterator<Item = (&'a str, &'a Seen, &'a Seen)>) {
+    pub(super) fn bet<'a>(&mut self, kinds: impl Iterator<Item = (&'a str, &'a AttemptStats, &'a AttemptStats)>) {
         self.bet_by(kinds, won_by_errors);
     }
 
     /// The same on errors alone.
-    pub(super) fn bet_on_errors<'a>(&mut self, kinds: impl Iterator<Item = (&'a str, &'a Seen, &'a Seen)>) {
+    pub(super) fn bet_on_errors<'a>(
+        &mut self,
+        kinds: impl Iterator<Item = (&'a str, &'a AttemptStats, &'a AttemptStats)>,
+    ) {
         self.bet_by(kinds, won_by_errors_alone);
     }
 
     fn bet_by<'a>(
         &mut self,
-        kinds: impl Iterator<Item = (&'a str, &'a Seen, &'a Seen)>,
-        won_by: impl Fn(&Seen, &Seen) -> Won,
+        kinds: impl Iterator<Item = (&'a str, &'a AttemptStats, &'a AttemptStats)>,
+        won_by: impl Fn(&AttemptStats, &AttemptStats) -> Won,
     ) {
         let mut by_route: BTreeMap<&str, Won> = BTreeMap::new();
         for (kind, new, old) in kinds {
--- a/havengrade_core/src/published/mod.rs
+++ b/havengrade_core/src/published/mod.rs
@@ -3,36 +3,36 @@
 //! A published route lets the callers of a home-grown script move over without a change: the router
 //! chooses account, endpoint and model for each request, and leaves its body and headers as they are.
 
+pub mod answer_window;
 pub mod attempt;
+mod attempt_outcome;
+mod attempt_stats;
 pub mod cold;
 pub mod directory;
 pub mod emptied_domains;
 pub mod endpoint_subset;
+pub mod evidence_summary;
 pub mod from_config;
-pub mod grounds;
-mod judgement;
+mod halt;
+mod likelihood;
 pub mod model_choice;
-mod odds;
-mod order;
 pub mod peers;
-mod pins;
 pub mod placement;
 pub mod position;
-pub mod recent;
 pub mod relay;
 pub mod retry_after;
 pub mod rollout;
+mod rollout_order;
+mod rollout_report;
 pub mod route;
-mod running;
-mod sample;
-mod seen;
 pub mod send_budget;
 pub mod send_limits;
 pub mod sent_prefixes;
+mod service_rollout;
+mod session_affinity;
 pub mod signals;
 pub mod startup;
 pub mod state_transfer;
-pub mod times;
-mod told;
-mod versions;
+pub mod time_histogram;
+mod version_comparison;
 pub mod withdrawal_policy;
--- a/havengrade_core/src/published/running.rs
+++ b/havengrade_core/src/published/service_rollout.rs
@@ -5,14 +5,14 @@
 use crate::{
     ids::Incarnation,
     published::{
+        answer_window::RecentAnswerCounts,
+        attempt_outcome::{AttemptOutcome, AttemptTime, TimeKind},
         directory::SoftwareVersion,
-        grounds::Grounds,
-        judgement::{Halt, Judgement},
-        order::{RolloutOrder, RolloutOutcome, RolloutStatus},
-        recent::SeenLately,
-        sample::{Sample, TimeNote, TimeOf},
-        told::{ToldHalt, ToldRecent},
-        versions::Versions,
+        evidence_summary::EvidenceSummary,
+        halt::{HaltDetector, HaltReason},
+        rollout_order::{RolloutOrder, RolloutOutcome, RolloutStatus},
+        rollout_report::{ReportedAnswerCounts, ReportedHalt},
+        version_comparison::VersionComparison,
     },
     secret::uniform_hash,
 };
@@ -76,7 +76,7 @@
 
 /// A roll-out as this VM sees it.
 #[derive(Clone, Debug)]
-pub(super) struct Running {
+pub(super) struct ServiceRollout {
     pub(super) order: RolloutOrder,
     /// When this VM learned of the order.
     since: SystemTime,
@@ -85,8 +85,8 @@
     pub(super) outcome: RolloutOutcome,
     /// The version that an earlier order brought, where that has succeeded.
     pub(super) replaces: Option<SoftwareVersion>,
-    pub(super) versions: Versions,
-    judgement: Judgement,
+    pub(super) versions: VersionComparison,
+    judgement: HaltDetector,
     /// Since when enough is known of the new version for it to take over.
     ready_since: Option<SystemTime>,
     /// When this VM saw the new version take over, and how many of its answers were known then.
@@ -95,7 +95,7 @@
 
 /// What should be written for an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct StatusUpdate {
     /// The status to write.
     pub status: RolloutStatus,
     /// Why, for the log.
@@ -108,15 +108,15 @@
     /// Largest share of a service's requests that a bad version may get.
     pub max_share: f64,
     /// Pause after which a session's next request no longer belongs to it.
-    pub session_time: Duration,
+    pub session_idle_timeout: Duration,
 }
 
-impl Running {
+impl ServiceRollout {
     /// An order that this VM learned of at `now`.
     pub(super) fn new(order: RolloutOrder, outcome: RolloutOutcome, now: SystemTime) -> Self {
         Self {
-            versions: Versions::new(order.service.clone(), order.version.clone()),
-            judgement: Judgement::default(),
+            versions: VersionComparison::new(order.service.clone(), order.version.clone()),
+            judgement: HaltDetector::default(),
             order,
             since: now,
             began: now,
@@ -142,14 +142,14 @@
     }
 
     /// Takes it from another VM that the version is to get nothing more; tells whether that is new.
-    pub(super) fn learn_halt(&mut self, halt: Halt) -> bool {
+    pub(super) fn learn_halt(&mut self, halt: HaltReason) -> bool {
         self.outcome != RolloutOutcome::RolledBack && self.judgement.learn(halt, self.outcome)
     }
 
     /// Why the version gets nothing more, for the others; not once it is written.
-    pub(super) fn told_halt(&self) -> Option<ToldHalt> {
+    pub(super) fn told_halt(&self) -> Option<ReportedHalt> {
         let halt = self.judgement.halt(self.outcome)?;
-        Some(ToldHalt { service: self.order.service.clone(), version: self.order.version.clone(), halt })
+        Some(ReportedHalt { service: self.order.service.clone(), version: self.order.version.clone(), reason: halt })
     }
 
     /// How far the new version is trusted.
@@ -187,7 +187,7 @@
     /// Whether there may be sessions of other versions than the one that new sessions are given: while the order is under way, and until
     /// the last sessions of the version before have ended.
     pub(super) fn moves_sessions(&self, bounds: RolloutBounds, now: SystemTime) -> bool {
-        let last = self.began + self.order.duration + bounds.session_time;
+        let last = self.began + self.order.duration + bounds.session_idle_timeout;
         !self.is_halted() && (self.outcome == RolloutOutcome::Running || now < last)
     }
 
@@ -214,7 +214,7 @@
     }
 
     /// Counts the end of a try that this VM, of run `own`, made.
-    pub(super) fn note(&mut self, sample: &Sample<'_>, own: Incarnation, now: SystemTime) {
+    pub(super) fn note(&mut self, sample: &AttemptOutcome<'_>, own: Incarnation, now: SystemTime) {
         if sample.version == self.order.version && sample.is_error() {
             self.judgement.note(sample.endpoint, true, now);
         }
@@ -222,26 +222,27 @@
     }
 
     /// Counts a time of a try that this VM, of run `own`, made.
-    pub(super) fn note_time(&mut self, note: &TimeNote<'_>, own: Incarnation, now: SystemTime) {
-        if note.version == self.order.version && matches!(note.of, TimeOf::First { .. }) {
+    pub(super) fn note_time(&mut self, note: &AttemptTime<'_>, own: Incarnation, now: SystemTime) {
+        if note.version == self.order.version && matches!(note.of, TimeKind::FirstByte { .. }) {
             self.judgement.note(note.endpoint, false, now);
         }
         self.versions.note_time(note, own);
     }
 
     /// What this VM saw lately of a version that has succeeded.
-    pub(super) fn tell_recent(&self, now: SystemTime) -> Option<ToldRecent> {
+    pub(super) fn tell_recent(&self, now: SystemTime) -> Option<ReportedAnswerCounts> {
         let is_needed = self.outcome == RolloutOutcome::Succeeded && self.is_watched(now);
-        is_needed.then(|| ToldRecent { service: self.order.service.clone(), seen: self.judgement.tell(now) })
+        is_needed
+            .then(|| ReportedAnswerCounts { service: self.order.service.clone(), counts: self.judgement.tell(now) })
     }
 
     /// Takes what another VM saw of it lately.
-    pub(super) fn hear_recent(&mut self, from: Incarnation, seen: SeenLately, now: SystemTime) {
+    pub(super) fn hear_recent(&mut self, from: Incarnation, seen: RecentAnswerCounts, now: SystemTime) {
         self.judgement.hear(from, seen, now);
     }
 
     /// Judges the new version by what is known now; tells why it gets nothing more where that is new.
-    pub(super) fn judge(&mut self, bounds: RolloutBounds, now: SystemTime) -> Option<ToldHalt> {
+    pub(super) fn judge(&mut self, bounds: RolloutBounds, now: SystemTime) -> Option<ReportedHalt> {
         if !self.is_watched(now) || self.is_halted() {
             return None;
         }
@@ -276,15 +277,15 @@
     }
 
     /// What a judgement at `now` rests on.
-    pub(super) fn grounds(&self, bounds: RolloutBounds, now: SystemTime) -> Grounds {
+    pub(super) fn evidence_summary(&self, bounds: RolloutBounds, now: SystemTime) -> EvidenceSummary {
         let (new, old) = self.versions.counted();
-        Grounds {
+        EvidenceSummary {
             service: self.order.service.clone(),
             version: self.order.version.clone(),
             phase: self.phase(bounds, false, now).name(),
             age: now.duration_since(self.began).unwrap_or_default(),
-            odds: self.judgement.odds(),
-            turn: self.judgement.turn_odds(self.outcome),
+            log_odds: self.judgement.odds(),
+            degradation_log_odds: self.judgement.turn_odds(self.outcome),
             new,
             old,
             writers: self.versions.writers(),
@@ -292,11 +293,11 @@
     }
 
     /// What should be written now, where it is not written yet.
-    pub(super) fn verdict(&self, written: Option<&RolloutStatus>, now: SystemTime) -> Option<Verdict> {
+    pub(super) fn status_update(&self, written: Option<&RolloutStatus>, now: SystemTime) -> Option<StatusUpdate> {
         let is_due = now + WRITE_AHEAD >= self.began + self.order.duration;
         let (outcome, reason) = if self.is_halted() {
             let halt = self.judgement.halt(self.outcome);
-            (RolloutOutcome::RolledBack, halt.map_or("it was rolled back", Halt::reason))
+            (RolloutOutcome::RolledBack, halt.map_or("it was rolled back", HaltReason::description))
         } else if self.outcome == RolloutOutcome::Succeeded || (is_due && self.has_taken_over(now)) {
             (RolloutOutcome::Succeeded, "the new version took all requests and is as good as the old one")
         } else {
@@ -304,7 +305,7 @@
         };
         let status =
             RolloutStatus { service: self.order.service.clone(), version: self.order.version.clone(), outcome };
-        (written != Some(&status)).then_some(Verdict { status, reason })
+        (written != Some(&status)).then_some(StatusUpdate { status, reason })
     }
 }
 
--- a/havengrade_core/src/published/pins.rs
+++ b/havengrade_core/src/published/session_affinity.rs
@@ -13,16 +13,16 @@
 };
 
 /// What a session is known by between VMs.
-pub type SessionMark = u64;
+pub type SessionFingerprint = u64;
 
 /// Sessions of other VMs that a report tells on; in a small fleet each hears of them at first hand.
 const MAX_TOLD_ON: usize = 12;
 
 /// A session and the version that served it last, as VMs tell each other.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeptSession {
+pub struct SessionAffinity {
     /// The session.
-    pub session: SessionMark,
+    pub session: SessionFingerprint,
     /// The version.
     pub version: SoftwareVersion,
     /// Time since it was last served.
@@ -31,14 +31,14 @@
 
 /// The sessions that keep to a version.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Pins {
-    by_session: HashMap<SessionId, Pin>,
+pub(super) struct AffinityTable {
+    by_session: HashMap<SessionId, Affinity>,
     /// What other VMs told last of sessions.
-    heard: HashMap<SessionMark, Pin>,
+    heard: HashMap<SessionFingerprint, Affinity>,
 }
 
 #[derive(Clone, Debug)]
-struct Pin {
+struct Affinity {
     version: SoftwareVersion,
     /// When its last request ended, as far as is known.
     used: SystemTime,
@@ -50,9 +50,9 @@
     told: u32,
 }
 
-impl Pin {
-    fn is_live(&self, session_time: Duration, now: SystemTime) -> bool {
-        now < self.used_at(now) + session_time
+impl Affinity {
+    fn is_live(&self, session_idle_timeout: Duration, now: SystemTime) -> bool {
+        now < self.used_at(now) + session_idle_timeout
     }
 
     /// When it was last used: now, while a request of it is in progress.
@@ -61,9 +61,9 @@
     }
 }
 
-impl Pins {
+impl AffinityTable {
     /// The last that is known of a session, here or from another VM.
-    fn latest(&self, session: &str, now: SystemTime) -> Option<&Pin> {
+    fn latest(&self, session: &str, now: SystemTime) -> Option<&Affinity> {
         let own = self.by_session.get(session);
         let heard = self.heard.get(&mark(session));
         match (own, heard) {
@@ -73,16 +73,21 @@
         }
     }
 
-    /// The version of a session's last request, if that ended less than `session_time` ago.
-    pub(super) fn version(&self, session: &str, session_time: Duration, now: SystemTime) -> Option<&SoftwareVersion> {
-        let pin = self.latest(session, now).filter(|pin| pin.is_live(session_time, now))?;
+    /// The version of a session's last request, if that ended less than `session_idle_timeout` ago.
+    pub(super) fn version(
+        &self,
+        session: &str,
+        session_idle_timeout: Duration,
+        now: SystemTime,
+    ) -> Option<&SoftwareVersion> {
+        let pin = self.latest(session, now).filter(|pin| pin.is_live(session_idle_timeout, now))?;
         Some(&pin.version)
     }
 
     /// Time until a session ends, if it is live.
-    pub(super) fn left(&self, session: &str, session_time: Duration, now: SystemTime) -> Option<Duration> {
+    pub(super) fn left(&self, session: &str, session_idle_timeout: Duration, now: SystemTime) -> Option<Duration> {
         let pin = self.latest(session, now)?;
-        (pin.used_at(now) + session_time).duration_since(now).ok()
+        (pin.used_at(now) + session_idle_timeout).duration_since(now).ok()
     }
 
     /// Notes which version answers a session, with a request that may be in progress until `busy_until`.
@@ -99,7 +104,7 @@
                 pin.told = 0;
             },
             None => {
-                let pin = Pin { version: version.to_owned(), used: now, busy_until, has_moved, told: 0 };
+                let pin = Affinity { version: version.to_owned(), used: now, busy_until, has_moved, told: 0 };
                 self.by_session.insert(session.to_owned(), pin);
             },
         }
@@ -123,20 +128,21 @@
         }
     }
 
-    /// Forgets sessions that rested for longer than `session_time`.
-    pub(super) fn prune(&mut self, session_time: Duration, now: SystemTime) {
-        self.by_session.retain(|_, pin| pin.is_live(session_time, now));
-        self.heard.retain(|_, pin| pin.is_live(session_time, now));
+    /// Forgets sessions that rested for longer than `session_idle_timeout`.
+    pub(super) fn prune(&mut self, session_idle_timeout: Duration, now: SystemTime) {
+        self.by_session.retain(|_, pin| pin.is_live(session_idle_timeout, now));
+        self.heard.retain(|_, pin| pin.is_live(session_idle_timeout, now));
     }
 
     /// Takes what another VM tells of a session, unless something later is known.
-    pub(super) fn hear(&mut self, kept: KeptSession, now: SystemTime) {
+    pub(super) fn hear(&mut self, kept: SessionAffinity, now: SystemTime) {
         let used = time_from_age(kept.used_ago, now);
         if self.heard.get(&kept.session).is_some_and(|known| known.used >= used) {
             return;
         }
         // Told on once, for those who did not hear it.
-        let pin = Pin { version: kept.version, used, busy_until: used, has_moved: false, told: REPORTS_PER_ENTRY - 1 };
+        let pin =
+            Affinity { version: kept.version, used, busy_until: used, has_moved: false, told: REPORTS_PER_ENTRY - 1 };
         self.heard.insert(kept.session, pin);
     }
 
@@ -146,31 +152,31 @@
         &mut self,
         is_wanted: impl Fn(&SessionId, &SoftwareVersion) -> bool,
         most: usize,
-        session_time: Duration,
+        session_idle_timeout: Duration,
         now: SystemTime,
-    ) -> Vec<KeptSession> {
-        let is_due = |pin: &Pin| pin.told < REPORTS_PER_ENTRY && pin.is_live(session_time, now);
+    ) -> Vec<SessionAffinity> {
+        let is_due = |pin: &Affinity| pin.told < REPORTS_PER_ENTRY && pin.is_live(session_idle_timeout, now);
         let own = self.by_session.iter_mut().filter(|(id, pin)| pin.has_moved || is_wanted(id, &pin.version));
         let own = own.map(|(id, pin)| (mark(id), pin)).filter(|(_, pin)| is_due(pin));
         let heard = self.heard.iter_mut().map(|(session, pin)| (*session, pin)).filter(|(_, pin)| is_due(pin));
-        let mut due: Vec<(SessionMark, &mut Pin)> = own.collect();
+        let mut due: Vec<(SessionFingerprint, &mut Affinity)> = own.collect();
         due.sort_by_key(|(session, pin)| (pin.told, *session));
-        let mut told_on: Vec<(SessionMark, &mut Pin)> = heard.collect();
+        let mut told_on: Vec<(SessionFingerprint, &mut Affinity)> = heard.collect();
         told_on.sort_by_key(|(session, _)| *session);
         told_on.truncate(MAX_TOLD_ON);
         // Nobody else tells of this VM's own.
         due.extend(told_on);
         due.truncate(most);
-        let tell = |(session, pin): (SessionMark, &mut Pin)| {
+        let tell = |(session, pin): (SessionFingerprint, &mut Affinity)| {
             pin.told += 1;
             let used_ago = now.duration_since(pin.used_at(now)).unwrap_or_default();
-            KeptSession { session, version: pin.version.clone(), used_ago }
+            SessionAffinity { session, version: pin.version.clone(), used_ago }
         };
         due.into_iter().map(tell).collect()
     }
 }
 
 /// What a session is known by between VMs.
-pub(super) fn mark(session: &str) -> SessionMark {
+pub(super) fn mark(session: &str) -> SessionFingerprint {
     uniform_hash(&[session, "mark"])
 }
--- a/havengrade_core/src/published/versions.rs
+++ b/havengrade_core/src/published/version_comparison.rs
@@ -8,18 +8,24 @@
 use crate::{
     ids::{Incarnation, ServiceId},
     published::{
+        attempt_outcome::{AttemptOutcome, AttemptTime},
+        attempt_stats::{AttemptStats, Kind, RouteEvidence, VersionStats},
         directory::SoftwareVersion,
-        grounds::Counted,
-        sample::{Sample, TimeNote},
-        seen::{Kind, Record, RouteEvidence, Seen},
-        times::LoadedTimes,
+        evidence_summary::VersionCounts,
+        time_histogram::TimeHistogramByLoad,
     },
 };
 
 /// Stands for all versions but the new one in evidence.
 pub(super) const OLD: &str = "";
 /// Stands for a version of which nothing is known.
-static NOTHING: Seen = Seen { ended: 0, failed: 0, errors: 0, first: LoadedTimes::new(), pace: LoadedTimes::new() };
+static NOTHING: AttemptStats = AttemptStats {
+    ended: 0,
+    failed: 0,
+    errors: 0,
+    first: TimeHistogramByLoad::new(),
+    pace: TimeHistogramByLoad::new(),
+};
 /// Time after which counters of the old version are told again; those of the new one are told with each report.
 const TELL_OLD: Duration = Duration::from_millis(1000);
 /// Time after which counters are told again although they are the same: a report may be lost, or go to others.
@@ -27,31 +33,31 @@
 
 /// What all VMs saw of the new version of a service, and of all others together.
 #[derive(Clone, Debug)]
-pub(super) struct Versions {
+pub(super) struct VersionComparison {
     service: ServiceId,
     /// The new version's name.
     name: SoftwareVersion,
-    new: Record,
-    old: Record,
+    new: VersionStats,
+    old: VersionStats,
     /// What another VM, or the store, knew of the old version when this VM started; kept apart from `old`, since both tell of the
     /// same answers.
-    handed: BTreeMap<Kind, Seen>,
+    handed: BTreeMap<Kind, AttemptStats>,
     /// What was seen of the new version since it was last taken.
-    fresh: HashMap<Kind, Seen>,
+    fresh: HashMap<Kind, AttemptStats>,
     /// How much of this VM's own counters was told, and when.
     told: HashMap<(SoftwareVersion, Kind), (u64, SystemTime)>,
 }
 
 /// What was seen of the new version in a kind of request, and what is usual there.
-pub(super) type Compared<'a> = (&'a str, &'a Seen, &'a Seen);
+pub(super) type Compared<'a> = (&'a str, &'a AttemptStats, &'a AttemptStats);
 
-impl Versions {
+impl VersionComparison {
     pub(super) fn new(service: ServiceId, name: SoftwareVersion) -> Self {
         Self {
             service,
             name,
-            new: Record::default(),
-            old: Record::default(),
+            new: VersionStats::default(),
+            old: VersionStats::default(),
             handed: BTreeMap::new(),
             fresh: HashMap::new(),
             told: HashMap::new(),
@@ -59,16 +65,16 @@
     }
 
     /// Counts the end of a try that this VM, of run `own`, made.
-    pub(super) fn note(&mut self, sample: &Sample<'_>, own: Incarnation) {
-        self.add(sample.kind, sample.version, own, &sample.seen());
+    pub(super) fn note(&mut self, sample: &AttemptOutcome<'_>, own: Incarnation) {
+        self.add(sample.kind, sample.version, own, &sample.stats());
     }
 
     /// Counts a time of a try that this VM, of run `own`, made.
-    pub(super) fn note_time(&mut self, note: &TimeNote<'_>, own: Incarnation) {
-        self.add(note.kind, note.version, own, &note.seen());
+    pub(super) fn note_time(&mut self, note: &AttemptTime<'_>, own: Incarnation) {
+        self.add(note.kind, note.version, own, &note.stats());
     }
 
-    fn add(&mut self, kind: &str, version: &str, own: Incarnation, seen: &Seen) {
+    fn add(&mut self, kind: &str, version: &str, own: Incarnation, seen: &AttemptStats) {
         if version == self.name {
             self.new.add(kind, own, seen);
             self.fresh.entry(kind.to_owned()).or_default().merge(seen);
@@ -122,14 +128,14 @@
     }
 
     /// What was seen of the new version since the last call.
-    pub(super) fn take_fresh(&mut self) -> HashMap<Kind, Seen> {
+    pub(super) fn take_fresh(&mut self) -> HashMap<Kind, AttemptStats> {
         std::mem::take(&mut self.fresh)
     }
 
     /// Some of the new version's counters beside what is usual.
     pub(super) fn compare<'a>(
         &'a self,
-        new: impl Iterator<Item = (&'a Kind, &'a Seen)>,
+        new: impl Iterator<Item = (&'a Kind, &'a AttemptStats)>,
     ) -> impl Iterator<Item = Compared<'a>> {
         new.map(|(kind, seen)| (kind.as_str(), seen, self.usual_of(kind)))
     }
@@ -153,9 +159,9 @@
     }
 
     /// What was counted of the new version and of the old one.
-    pub(super) fn counted(&self) -> (Counted, Counted) {
-        let count = |record: &Record| {
-            let mut counted = Counted::default();
+    pub(super) fn counted(&self) -> (VersionCounts, VersionCounts) {
+        let count = |record: &VersionStats| {
+            let mut counted = VersionCounts::default();
             for (kind, seen) in record.sums() {
                 counted.add(seen, self.usual_of(kind));
             }
@@ -165,7 +171,7 @@
     }
 
     /// What is known of the old version in a kind of request, from whichever side tells more.
-    pub(super) fn usual_of(&self, kind: &str) -> &Seen {
+    pub(super) fn usual_of(&self, kind: &str) -> &AttemptStats {
         let (seen, handed) = (self.old.sum(kind), self.handed.get(kind));
         seen.into_iter().chain(handed).max_by_key(|seen| seen.weight()).unwrap_or(&NOTHING)
     }
@@ -183,7 +189,7 @@
     }
 
     /// Takes what another VM knows of the old version.
-    pub(super) fn take_usual(&mut self, usual: Vec<RouteEvidence>) {
+    pub(super) fn merge_baseline(&mut self, usual: Vec<RouteEvidence>) {
         for evidence in usual {
             let known = self.handed.entry(evidence.route).or_default();
             if known.weight() < evidence.seen.weight() {
--- a/havengrade_core/tests/published_older_copy.rs
+++ b/havengrade_core/tests/published_older_copy.rs
@@ -94,13 +94,13 @@
     for (service, outcome) in
         [("x", RolloutOutcome::Succeeded), ("y", RolloutOutcome::RolledBack), ("z", RolloutOutcome::Running)]
     {
-        rollouts.note_status(status(service, outcome));
+        rollouts.record_status(status(service, outcome));
     }
     let there = [status("x", RolloutOutcome::Running), status("z", RolloutOutcome::RolledBack)];
-    let missing = rollouts.missing_in(&there);
+    let missing = rollouts.statuses_missing_from(&there);
     assert_eq!(missing, [status("x", RolloutOutcome::Succeeded), status("y", RolloutOutcome::RolledBack)]);
-    assert!(!rollouts.note_status(status("x", RolloutOutcome::Running)), "an end stands");
-    assert!(rollouts.missing_in(&missing).iter().all(|status| status.service == "z"));
+    assert!(!rollouts.record_status(status("x", RolloutOutcome::Running)), "an end stands");
+    assert!(rollouts.statuses_missing_from(&missing).iter().all(|status| status.service == "z"));
 }
 
 #[test]
--- a/havengrade_core/tests/published_rollout.rs
+++ b/havengrade_core/tests/published_rollout.rs
@@ -6,10 +6,10 @@
 use havengrade_core::published::{
     retry_after::{RetryReason, retry_delay},
     rollout::{
-        Allowed, Failure, RolloutBounds, RolloutOrder, RolloutOutcome, RolloutStatus, Rollouts, RouteEvidence, Sample,
-        Seen, TimeNote, TimeOf,
+        AllowedVersions, AttemptOutcome, AttemptStats, AttemptTime, Failure, RolloutBounds, RolloutOrder,
+        RolloutOutcome, RolloutStatus, Rollouts, RouteEvidence, TimeKind,
     },
-    times::Load,
+    time_histogram::Load,
 };
 use rand::RngExt as _;
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng as _};
@@ -20,7 +20,7 @@
     START + Duration::from_millis(millis)
 }
 
-const BOUNDS: RolloutBounds = RolloutBounds { max_share: 0.15, session_time: Duration::from_secs(5) };
+const BOUNDS: RolloutBounds = RolloutBounds { max_share: 0.15, session_idle_timeout: Duration::from_secs(5) };
 const OWN: u64 = 7;
 
 fn order(version: &str) -> RolloutOrder {
@@ -29,12 +29,12 @@
 
 fn running() -> Rollouts {
     let mut rollouts = Rollouts::default();
-    assert!(rollouts.order(order("v2"), at(0)));
+    assert!(rollouts.add_order(order("v2"), at(0)));
     rollouts
 }
 
-fn allowed(rollouts: &Rollouts, subject: &str, session: Option<&str>, millis: u64) -> Allowed {
-    rollouts.allowed("events", subject, session, BOUNDS, at(millis))
+fn allowed(rollouts: &Rollouts, subject: &str, session: Option<&str>, millis: u64) -> AllowedVersions {
+    rollouts.allowed_versions("events", subject, session, BOUNDS, at(millis))
 }
 
 /// An answer of one kind, for a work of some size.
@@ -51,12 +51,12 @@
         let Self { kind, version, .. } = *self;
         let endpoint = "e1";
         if !self.failed {
-            let (of, time) = (TimeOf::First { work: self.size }, Duration::from_secs_f64(self.millis / 1000.0));
-            let note = TimeNote { kind, version, endpoint, load: Load::Light, of, time };
-            rollouts.note_time("events", note, OWN, at(now));
+            let (of, time) = (TimeKind::FirstByte { work: self.size }, Duration::from_secs_f64(self.millis / 1000.0));
+            let note = AttemptTime { kind, version, endpoint, load: Load::Light, of, time };
+            rollouts.record_time("events", note, OWN, at(now));
         }
         let failure = self.failed.then_some(Failure::Error);
-        rollouts.note("events", Sample { kind, version, endpoint, failure }, OWN, at(now));
+        rollouts.record_outcome("events", AttemptOutcome { kind, version, endpoint, failure }, OWN, at(now));
     }
 }
 
@@ -65,7 +65,7 @@
 }
 
 fn outcome(rollouts: &mut Rollouts, millis: u64) -> RolloutOutcome {
-    rollouts.verdicts(BOUNDS, at(millis)).first().unwrap().status.outcome
+    rollouts.status_updates(BOUNDS, at(millis)).first().unwrap().status.outcome
 }
 
 #[test]
@@ -80,16 +80,16 @@
     let mut rollouts = running();
     for id in 0..300 {
         let session = format!("s{id}");
-        rollouts.begin_request(&session, "v1", at(4_000), at(4_000));
-        assert_eq!(allowed(&rollouts, "r", Some(&session), 6_000), Allowed::Only("v1".into()));
+        rollouts.begin_session_request(&session, "v1", at(4_000), at(4_000));
+        assert_eq!(allowed(&rollouts, "r", Some(&session), 6_000), AllowedVersions::Only("v1".into()));
     }
 }
 
 #[test]
 fn a_session_of_the_new_version_stays_there() {
     let mut rollouts = running();
-    rollouts.begin_request("s", "v2", at(4_000), at(4_000));
-    assert_eq!(allowed(&rollouts, "r", Some("s"), 8_000), Allowed::Only("v2".into()));
+    rollouts.begin_session_request("s", "v2", at(4_000), at(4_000));
+    assert_eq!(allowed(&rollouts, "r", Some("s"), 8_000), AllowedVersions::Only("v2".into()));
 }
 
 #[test]
@@ -154,14 +154,14 @@
 #[test]
 fn a_vm_that_starts_during_a_roll_out_takes_over_with_the_others() {
     let mut rollouts = Rollouts::default();
-    rollouts.order(order("v2"), at(9_000));
+    rollouts.add_order(order("v2"), at(9_000));
     let told = |version: &str, outcome| RolloutStatus { service: "events".into(), version: version.into(), outcome };
     let running = told("v2", RolloutOutcome::Running);
-    assert!(!rollouts.learn_beginning(&told("v3", RolloutOutcome::Running), at(0)));
-    assert!(!rollouts.learn_beginning(&told("v2", RolloutOutcome::RolledBack), at(0)), "of an earlier order");
+    assert!(!rollouts.merge_start_time(&told("v3", RolloutOutcome::Running), at(0)));
+    assert!(!rollouts.merge_start_time(&told("v2", RolloutOutcome::RolledBack), at(0)), "of an earlier order");
     assert_eq!(outcome(&mut rollouts, 19_200), RolloutOutcome::Running, "another order says nothing");
-    assert!(rollouts.learn_beginning(&running, at(0)));
-    assert!(!rollouts.learn_beginning(&running, at(5_000)));
+    assert!(rollouts.merge_start_time(&running, at(0)));
+    assert!(!rollouts.merge_start_time(&running, at(5_000)));
     assert_eq!(rollouts.order_age("events", "v2", at(10_000)), Some(Duration::from_secs(10)));
     assert!((0..500).all(|id| allowed(&rollouts, &format!("r{id}"), None, 18_800).includes("v2")));
     assert_eq!(outcome(&mut rollouts, 19_200), RolloutOutcome::Succeeded);
@@ -176,15 +176,15 @@
         service: "events".into(),
         version: version.into(),
         route: "tags".into(),
-        seen: Seen { ended, failed, ..Seen::default() },
+        seen: AttemptStats { ended, failed, ..AttemptStats::default() },
     };
     for _ in 0..50 {
-        rollouts.merge(8, &seen("", 100, 0));
-        rollouts.merge(8, &seen("v2", 10, 1));
+        rollouts.merge_evidence(8, &seen("", 100, 0));
+        rollouts.merge_evidence(8, &seen("v2", 10, 1));
     }
     assert_eq!(outcome(&mut rollouts, 6_000), RolloutOutcome::Running);
     for writer in 10..18 {
-        rollouts.merge(writer, &seen("v2", 4, 2));
+        rollouts.merge_evidence(writer, &seen("v2", 4, 2));
     }
     assert_eq!(outcome(&mut rollouts, 6_000), RolloutOutcome::RolledBack);
 }
@@ -193,11 +193,11 @@
 fn what_is_written_for_an_order_stands() {
     let mut rollouts = running();
     let status = |outcome| RolloutStatus { service: "events".into(), version: "v2".into(), outcome };
-    rollouts.note_status(status(RolloutOutcome::RolledBack));
-    rollouts.note_status(status(RolloutOutcome::Succeeded));
-    assert_eq!(allowed(&rollouts, "r", None, 1_000), Allowed::Not("v2".into()));
+    rollouts.record_status(status(RolloutOutcome::RolledBack));
+    rollouts.record_status(status(RolloutOutcome::Succeeded));
+    assert_eq!(allowed(&rollouts, "r", None, 1_000), AllowedVersions::Not("v2".into()));
     assert!(rollouts.is_settled(&status(RolloutOutcome::RolledBack)));
-    assert!(rollouts.verdicts(BOUNDS, at(19_000)).is_empty());
+    assert!(rollouts.status_updates(BOUNDS, at(19_000)).is_empty());
 }
 
 #[test]
@@ -268,7 +268,7 @@
         let new = (0..requests).filter(|millis| {
             let subject = format!("r{millis}");
             let session = is_session.then_some(subject.as_str());
-            rollouts.allowed("events", &subject, session, bounds, at(*millis)).includes("v2")
+            rollouts.allowed_versions("events", &subject, session, bounds, at(*millis)).includes("v2")
         });
         let exposed = new.count() as f64 / requests as f64;
         assert!(exposed < share, "{exposed} of {share}");
@@ -283,15 +283,18 @@
         (0..4000).map(|id| format!("s{id}")).filter(|id| allowed(&here, "r", Some(id), 7_000).includes("v2")).collect();
     assert!(candidates.len() > 100);
     for session in &candidates {
-        here.begin_request(session, "v1", at(4_000), at(4_000));
+        here.begin_session_request(session, "v1", at(4_000), at(4_000));
     }
     for millis in (6_000..6_900).step_by(100) {
-        for kept in here.tell_sessions(BOUNDS, at(millis)) {
-            there.hear_session(kept, at(millis + 2));
+        for kept in here.next_session_report(BOUNDS, at(millis)) {
+            there.merge_session(kept, at(millis + 2));
         }
     }
-    assert!(candidates.iter().all(|id| allowed(&there, "r", Some(id), 7_000) == Allowed::Only("v1".into())));
-    assert!(candidates.iter().all(|id| allowed(&there, "r", Some(id), 9_100) == Allowed::Only("v2".into())), "ended");
+    assert!(candidates.iter().all(|id| allowed(&there, "r", Some(id), 7_000) == AllowedVersions::Only("v1".into())));
+    assert!(
+        candidates.iter().all(|id| allowed(&there, "r", Some(id), 9_100) == AllowedVersions::Only("v2".into())),
+        "ended"
+    );
 }
 
 #[test]
@@ -323,34 +326,34 @@
 fn what_other_vms_say_does_not_undo_the_end_of_a_roll_out() {
     let mut rollouts = running();
     let status = |version: &str, outcome| RolloutStatus { service: "events".into(), version: version.into(), outcome };
-    assert!(rollouts.learn_status(status("v2", RolloutOutcome::Running)));
-    assert!(rollouts.learn_status(status("v2", RolloutOutcome::RolledBack)));
-    assert!(!rollouts.learn_status(status("v2", RolloutOutcome::Running)));
-    assert!(!rollouts.learn_status(status("v1", RolloutOutcome::Succeeded)));
+    assert!(rollouts.merge_status(status("v2", RolloutOutcome::Running)));
+    assert!(rollouts.merge_status(status("v2", RolloutOutcome::RolledBack)));
+    assert!(!rollouts.merge_status(status("v2", RolloutOutcome::Running)));
+    assert!(!rollouts.merge_status(status("v1", RolloutOutcome::Succeeded)));
     assert_eq!(rollouts.written("events"), Some(&status("v2", RolloutOutcome::RolledBack)));
 }
 
 #[test]
 fn a_session_leaves_a_version_that_was_rolled_back_also_for_a_later_order() {
     let mut rollouts = running();
-    rollouts.begin_request("s", "v2", at(4_000), at(4_000));
+    rollouts.begin_session_request("s", "v2", at(4_000), at(4_000));
     let back = RolloutStatus { service: "events".into(), version: "v2".into(), outcome: RolloutOutcome::RolledBack };
-    rollouts.note_status(back);
-    assert_eq!(allowed(&rollouts, "r", Some("s"), 4_500), Allowed::Not("v2".into()));
-    assert!(rollouts.order(order("v3"), at(5_000)));
-    assert_eq!(allowed(&rollouts, "r", Some("s"), 5_500), Allowed::Not("v3".into()));
-    assert!(rollouts.is_barred("events", "v2") && !rollouts.is_barred("events", "v1"));
-    assert!(rollouts.order(order("v2"), at(6_000)), "ordered again");
+    rollouts.record_status(back);
+    assert_eq!(allowed(&rollouts, "r", Some("s"), 4_500), AllowedVersions::Not("v2".into()));
+    assert!(rollouts.add_order(order("v3"), at(5_000)));
+    assert_eq!(allowed(&rollouts, "r", Some("s"), 5_500), AllowedVersions::Not("v3".into()));
+    assert!(rollouts.is_rolled_back("events", "v2") && !rollouts.is_rolled_back("events", "v1"));
+    assert!(rollouts.add_order(order("v2"), at(6_000)), "ordered again");
 }
 
 #[test]
 fn a_pause_of_a_session_counts_from_the_end_of_its_last_request() {
     let mut rollouts = running();
-    rollouts.begin_request("s", "v1", at(4_000), at(4_000));
-    rollouts.end_request("s", "v1", at(8_000));
-    assert_eq!(allowed(&rollouts, "r", Some("s"), 12_000), Allowed::Only("v1".into()));
-    assert_eq!(rollouts.session_left("s", BOUNDS, at(12_000)), Some(Duration::from_secs(1)));
-    assert_eq!(rollouts.session_left("s", BOUNDS, at(13_500)), None);
+    rollouts.begin_session_request("s", "v1", at(4_000), at(4_000));
+    rollouts.extend_session("s", "v1", at(8_000));
+    assert_eq!(allowed(&rollouts, "r", Some("s"), 12_000), AllowedVersions::Only("v1".into()));
+    assert_eq!(rollouts.session_time_left("s", BOUNDS, at(12_000)), Some(Duration::from_secs(1)));
+    assert_eq!(rollouts.session_time_left("s", BOUNDS, at(13_500)), None);
 }
 
 /// Seen: requests of sessions ran on another version 4.99 s after the last one, where five end a session. Cause: callers were told to come back in the moment in which the
@@ -366,8 +369,8 @@
 #[test]
 fn a_refused_request_does_not_prolong_its_session() {
     let mut rollouts = running();
-    rollouts.begin_request("s", "v1", at(10_000), at(4_000));
-    rollouts.end_session_request("s", at(5_000));
-    rollouts.end_session_request("s", at(9_000));
-    assert_eq!(rollouts.session_left("s", BOUNDS, at(9_000)), Some(Duration::from_secs(1)));
+    rollouts.begin_session_request("s", "v1", at(10_000), at(4_000));
+    rollouts.mark_session_idle("s", at(5_000));
+    rollouts.mark_session_idle("s", at(9_000));
+    assert_eq!(rollouts.session_time_left("s", BOUNDS, at(9_000)), Some(Duration::from_secs(1)));
 }
--- a/havengrade_core/tests/published_two_rollouts.rs
+++ b/havengrade_core/tests/published_two_rollouts.rs
@@ -6,9 +6,9 @@
     time::{Duration, SystemTime},
 };
 
-use havengrade_core::published::rollout::{Allowed, RolloutBounds, RolloutOrder, RolloutOutcome, Rollouts};
+use havengrade_core::published::rollout::{AllowedVersions, RolloutBounds, RolloutOrder, RolloutOutcome, Rollouts};
 
-const BOUNDS: RolloutBounds = RolloutBounds { max_share: 0.15, session_time: Duration::from_secs(5) };
+const BOUNDS: RolloutBounds = RolloutBounds { max_share: 0.15, session_idle_timeout: Duration::from_secs(5) };
 const DURATION: Duration = Duration::from_secs(14);
 /// When the orders are given, in milliseconds: the second one 0.5 s after the first one's deadline.
 const ORDERS: [(u64, &str, &str); 2] = [(2_000, "v1", "v2"), (16_500, "v2", "v3")];
@@ -26,9 +26,9 @@
 fn serve(rollouts: &Rollouts, session: &str, before: Option<&String>, now: u64) -> (String, bool) {
     let running = ORDERS.iter().rev().find(|(ordered, _, _)| *ordered <= now);
     let Some((ordered, old, new)) = running else { return ("v1".into(), false) };
-    let version = match rollouts.allowed("models", session, Some(session), BOUNDS, at(now)) {
-        Allowed::Only(version) => version,
-        Allowed::Any | Allowed::Not(_) => (*old).to_owned(),
+    let version = match rollouts.allowed_versions("models", session, Some(session), BOUNDS, at(now)) {
+        AllowedVersions::Only(version) => version,
+        AllowedVersions::Any | AllowedVersions::Not(_) => (*old).to_owned(),
     };
     let is_first_half = now < ordered + DURATION.as_millis() as u64 / 2;
     let may_move = version == *new && !is_first_half;
@@ -44,17 +44,17 @@
     for now in (0..32_000).step_by(10) {
         for (ordered, _, new) in ORDERS.iter().filter(|(ordered, _, _)| *ordered == now) {
             let order = RolloutOrder { service: "models".into(), version: (*new).to_owned(), duration: DURATION };
-            assert!(rollouts.order(order, at(*ordered)));
+            assert!(rollouts.add_order(order, at(*ordered)));
         }
-        for verdict in rollouts.verdicts(BOUNDS, at(now)) {
+        for verdict in rollouts.status_updates(BOUNDS, at(now)) {
             assert_ne!(verdict.status.outcome, RolloutOutcome::RolledBack);
-            rollouts.note_status(verdict.status);
+            rollouts.record_status(verdict.status);
         }
         for id in (0..SESSIONS).filter(|id| (now + id * 10) % PERIOD == 0) {
             let session = format!("s{id}");
             let (version, is_moved) = serve(&rollouts, &session, last.get(&session), now);
             moved += usize::from(is_moved);
-            rollouts.begin_request(&session, &version, at(now), at(now));
+            rollouts.begin_session_request(&session, &version, at(now), at(now));
             last.insert(session, version);
         }
     }
@@ -74,19 +74,20 @@
         for (ordered, _, new) in ORDERS.iter().filter(|(ordered, _, _)| *ordered == now) {
             for rollouts in &mut vms {
                 let order = RolloutOrder { service: "models".into(), version: (*new).to_owned(), duration: DURATION };
-                assert!(rollouts.order(order, at(*ordered)));
+                assert!(rollouts.add_order(order, at(*ordered)));
             }
         }
-        let verdicts = vms[0].verdicts(BOUNDS, at(now));
-        for verdict in verdicts {
+        let status_updates = vms[0].status_updates(BOUNDS, at(now));
+        for verdict in status_updates {
             for rollouts in &mut vms {
-                rollouts.note_status(verdict.status.clone());
+                rollouts.record_status(verdict.status.clone());
             }
         }
         if now % 200 == 0 {
-            let news: Vec<_> = (0..).zip(&mut vms).map(|(vm, rollouts)| rollouts.news(BOUNDS, vm, at(now))).collect();
+            let news: Vec<_> =
+                (0..).zip(&mut vms).map(|(vm, rollouts)| rollouts.next_report(BOUNDS, vm, at(now))).collect();
             for (vm, news) in (0..).zip(news) {
-                vms[1 - vm as usize].hear(vm, news, at(now));
+                vms[1 - vm as usize].merge_report(vm, news, at(now));
             }
         }
         for id in (0..SESSIONS).filter(|id| (now + id * 10) % PERIOD == 0) {
@@ -94,7 +95,7 @@
             let rollouts = &mut vms[((now / PERIOD + id) % 2) as usize];
             let (version, is_moved) = serve(rollouts, &session, last.get(&session), now);
             moved += usize::from(is_moved);
-            rollouts.begin_request(&session, &version, at(now), at(now));
+            rollouts.begin_session_request(&session, &version, at(now), at(now));
             last.insert(session, version);
         }
     }
@@ -116,22 +117,23 @@
         for (ordered, _, new) in ORDERS.iter().filter(|(ordered, _, _)| *ordered == now) {
             for rollouts in &mut vms {
                 let order = RolloutOrder { service: "models".into(), version: (*new).to_owned(), duration: DURATION };
-                assert!(rollouts.order(order, at(*ordered)));
+                assert!(rollouts.add_order(order, at(*ordered)));
             }
         }
         if now % 200 == 0 {
-            for verdict in vms[0].verdicts(BOUNDS, at(now)) {
+            for verdict in vms[0].status_updates(BOUNDS, at(now)) {
                 for rollouts in &mut vms {
-                    rollouts.note_status(verdict.status.clone());
+                    rollouts.record_status(verdict.status.clone());
                 }
             }
-            let news: Vec<_> = (0..).zip(&mut vms).map(|(vm, rollouts)| rollouts.news(BOUNDS, vm, at(now))).collect();
+            let news: Vec<_> =
+                (0..).zip(&mut vms).map(|(vm, rollouts)| rollouts.next_report(BOUNDS, vm, at(now))).collect();
             for (vm, news) in (0..).zip(news) {
                 for step in 0..HEARERS {
                     // Prime to the number of VMs, so that each report goes to others.
                     let to = (vm + 1 + (now / 200 * HEARERS + step) * 5) % VMS;
                     if to != vm {
-                        vms[to as usize].hear(vm, news.clone(), at(now));
+                        vms[to as usize].merge_report(vm, news.clone(), at(now));
                     }
                 }
             }
@@ -141,7 +143,7 @@
             let rollouts = &mut vms[((now / PERIOD * 31 + id) % VMS) as usize];
             let (version, is_moved) = serve(rollouts, &session, last.get(&session), now);
             moved += usize::from(is_moved);
-            rollouts.begin_request(&session, &version, at(now), at(now));
+            rollouts.begin_session_request(&session, &version, at(now), at(now));
             last.insert(session, version);
         }
     }
@@ -155,18 +157,21 @@
     let mut vms = [Rollouts::default(), Rollouts::default()];
     for rollouts in &mut vms {
         let order = RolloutOrder { service: "models".into(), version: "v2".into(), duration: DURATION };
-        assert!(rollouts.order(order, at(2_000)));
+        assert!(rollouts.add_order(order, at(2_000)));
     }
     let [here, there] = &mut vms;
-    let takes_new = |id: &String| here.allowed("models", id, Some(id), BOUNDS, at(5_000)) == Allowed::Only("v2".into());
+    let takes_new = |id: &String| {
+        here.allowed_versions("models", id, Some(id), BOUNDS, at(5_000)) == AllowedVersions::Only("v2".into())
+    };
     let session = (0..4000).map(|id| format!("s{id}")).find(takes_new).unwrap();
-    here.begin_request(&session, "v1", at(20_000), at(3_000));
-    there.hear(1, here.news(BOUNDS, 1, at(8_900)), at(8_901));
-    let allowed = |rollouts: &Rollouts, now| rollouts.allowed("models", &session, Some(&session), BOUNDS, at(now));
-    assert_eq!(allowed(there, 8_950), Allowed::Only("v1".into()));
-    here.end_session_request(&session, at(9_000));
-    assert_eq!(allowed(here, 13_900), Allowed::Only("v1".into()));
-    assert_eq!(allowed(here, 14_100), Allowed::Only("v2".into()), "its pause is over");
+    here.begin_session_request(&session, "v1", at(20_000), at(3_000));
+    there.merge_report(1, here.next_report(BOUNDS, 1, at(8_900)), at(8_901));
+    let allowed =
+        |rollouts: &Rollouts, now| rollouts.allowed_versions("models", &session, Some(&session), BOUNDS, at(now));
+    assert_eq!(allowed(there, 8_950), AllowedVersions::Only("v1".into()));
+    here.mark_session_idle(&session, at(9_000));
+    assert_eq!(allowed(here, 13_900), AllowedVersions::Only("v1".into()));
+    assert_eq!(allowed(here, 14_100), AllowedVersions::Only("v2".into()), "its pause is over");
 }
 
 /// What a VM tells on comes back to it over others; each word has to end, however long the reports are under way.
@@ -175,19 +180,20 @@
     let mut vms = [Rollouts::default(), Rollouts::default(), Rollouts::default()];
     for rollouts in &mut vms {
         let order = RolloutOrder { service: "models".into(), version: "v2".into(), duration: DURATION };
-        assert!(rollouts.order(order, at(2_000)));
+        assert!(rollouts.add_order(order, at(2_000)));
     }
-    let takes_new =
-        |id: &String| vms[0].allowed("models", id, Some(id), BOUNDS, at(5_000)) == Allowed::Only("v2".into());
+    let takes_new = |id: &String| {
+        vms[0].allowed_versions("models", id, Some(id), BOUNDS, at(5_000)) == AllowedVersions::Only("v2".into())
+    };
     let session = (0..4000).map(|id| format!("s{id}")).find(takes_new).unwrap();
-    vms[0].begin_request(&session, "v1", at(3_000), at(3_000));
+    vms[0].begin_session_request(&session, "v1", at(3_000), at(3_000));
     let mut told = 0;
     for now in (3_200..7_800).step_by(200) {
         for from in 0..3 {
-            let news = vms[from].news(BOUNDS, from as u64, at(now));
+            let news = vms[from].next_report(BOUNDS, from as u64, at(now));
             told += news.sessions.len();
             for to in (0..3).filter(|to| *to != from) {
-                vms[to].hear(from as u64, news.clone(), at(now + 4));
+                vms[to].merge_report(from as u64, news.clone(), at(now + 4));
             }
         }
     }
--- a/havengrade_core/tests/support/rollout_fleet.rs
+++ b/havengrade_core/tests/support/rollout_fleet.rs
@@ -8,10 +8,10 @@
 
 use havengrade_core::published::{
     rollout::{
-        Failure, RolloutBounds, RolloutNews, RolloutOrder, RolloutOutcome, RolloutStatus, Rollouts, RouteEvidence,
-        Sample, TimeNote, TimeOf,
+        AttemptOutcome, AttemptTime, Failure, RolloutBounds, RolloutOrder, RolloutOutcome, RolloutReport,
+        RolloutStatus, Rollouts, RouteEvidence, TimeKind,
     },
-    times::Load,
+    time_histogram::Load,
 };
 use rand::{Rng, RngExt as _};
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng as _};
@@ -21,7 +21,8 @@
 pub(crate) const SERVICE: &str = "models";
 pub(crate) const OLD: &str = "v1";
 pub(crate) const NEW: &str = "v2";
-pub(crate) const BOUNDS: RolloutBounds = RolloutBounds { max_share: 0.15, session_time: Duration::from_secs(5) };
+pub(crate) const BOUNDS: RolloutBounds =
+    RolloutBounds { max_share: 0.15, session_idle_timeout: Duration::from_secs(5) };
 
 /// Time between two steps of the simulation, in milliseconds.
 const STEP: u64 = 10;
@@ -59,7 +60,7 @@
 /// What happens later.
 enum Event {
     Answer { vm: usize, incarnation: u64, answer: Answer },
-    Report { to: usize, from: u64, news: RolloutNews },
+    Report { to: usize, from: u64, news: RolloutReport },
     Listed { version: &'static str, is_listed: bool },
 }
 
@@ -174,7 +175,7 @@
         if now == ORDERED {
             let order = self.order();
             for vm in &mut self.vms {
-                vm.rollouts.order(order.clone(), at(now));
+                vm.rollouts.add_order(order.clone(), at(now));
             }
         }
         while let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= now) {
@@ -229,15 +230,15 @@
     fn start(&mut self, index: usize, now: u64) {
         let mut rollouts = Rollouts::default();
         for status in &self.statuses {
-            rollouts.note_status(status.clone());
+            rollouts.record_status(status.clone());
         }
         rollouts.set_statuses_read();
         if now >= ORDERED {
-            rollouts.order(self.order(), at(now));
+            rollouts.add_order(self.order(), at(now));
         }
         let other = (0..self.vms.len()).find(|other| *other != index && self.vms[*other].up_at < now);
-        let usual = other.map(|other| self.vms[other].rollouts.usual(SERVICE, NEW));
-        rollouts.take_usual(SERVICE, NEW, usual.unwrap_or_else(|| self.kept.clone()));
+        let usual = other.map(|other| self.vms[other].rollouts.baseline(SERVICE, NEW));
+        rollouts.merge_baseline(SERVICE, NEW, usual.unwrap_or_else(|| self.kept.clone()));
         self.vms[index].rollouts = rollouts;
         self.vms[index].due = None;
     }
@@ -251,7 +252,7 @@
             Event::Listed { version, is_listed } => drop(self.listed.insert(version, is_listed)),
             Event::Report { to, from, news } => {
                 if self.is_up(to, now) {
-                    self.vms[to].rollouts.hear(from, news, at(now));
+                    self.vms[to].rollouts.merge_report(from, news, at(now));
                 }
             },
             Event::Answer { vm, incarnation, answer } => {
@@ -275,12 +276,12 @@
         self.next_request += 1;
         let id = format!("r{}", self.next_request);
         let rollouts = &self.vms[vm].rollouts;
-        let is_barred = rollouts.is_barred(SERVICE, NEW);
-        let allowed = rollouts.allowed(SERVICE, &id, None, BOUNDS, at(now));
-        let listed = |version: &&'static str| self.listed[version] && !(is_barred && *version == NEW);
+        let is_rolled_back = rollouts.is_rolled_back(SERVICE, NEW);
+        let allowed = rollouts.allowed_versions(SERVICE, &id, None, BOUNDS, at(now));
+        let listed = |version: &&'static str| self.listed[version] && !(is_rolled_back && *version == NEW);
         let mut versions: Vec<&str> =
             [OLD, NEW].into_iter().filter(listed).filter(|version| allowed.includes(version)).collect();
-        if versions.is_empty() && rollouts.may_take_any(SERVICE) {
+        if versions.is_empty() && rollouts.may_use_any_version(SERVICE) {
             versions = [OLD, NEW].into_iter().filter(listed).collect();
         }
         let Some(version) = versions.first().copied() else {
@@ -379,7 +380,7 @@
 
     fn report(&mut self, index: usize, now: u64) {
         let Vm { rollouts, incarnation, .. } = &mut self.vms[index];
-        let (news, from) = (rollouts.news(BOUNDS, *incarnation, at(now)), *incarnation);
+        let (news, from) = (rollouts.next_report(BOUNDS, *incarnation, at(now)), *incarnation);
         for to in (0..self.vms.len()).filter(|to| *to != index) {
             let lost = |fault: &Fault| match fault {
                 Fault::ReportsLost { share, from, until } if (*from..*until).contains(&now) => *share,
@@ -398,8 +399,8 @@
         if index < 2 && phase_of_read(now) && !is_away {
             self.read(index);
         }
-        let verdicts = self.vms[index].rollouts.verdicts(BOUNDS, at(now));
-        for verdict in verdicts {
+        let status_updates = self.vms[index].rollouts.status_updates(BOUNDS, at(now));
+        for verdict in status_updates {
             let outcome = verdict.status.outcome;
             let spread = if outcome == RolloutOutcome::Running { 3_000 } else { 100 };
             let known = self.vms[index].due.filter(|(due, _)| *due == outcome);
@@ -417,15 +418,15 @@
 
     fn read(&mut self, index: usize) {
         for status in &self.statuses {
-            self.vms[index].rollouts.note_status(status.clone());
+            self.vms[index].rollouts.record_status(status.clone());
         }
     }
 
     fn write(&mut self, index: usize, status: RolloutStatus, now: u64) {
-        self.vms[index].rollouts.note_status(status.clone());
+        self.vms[index].rollouts.record_status(status.clone());
         self.played.states.push((now, status.outcome));
         if status.outcome == RolloutOutcome::Succeeded {
-            self.kept = self.vms[index].rollouts.usual(SERVICE, NEW);
+            self.kept = self.vms[index].rollouts.baseline(SERVICE, NEW);
         }
         match status.outcome {
             RolloutOutcome::Running => {},
@@ -465,10 +466,10 @@
 fn note(rollouts: &mut Rollouts, answer: &Answer, incarnation: u64, now: u64) {
     let Answer { kind, version, endpoint, failure, .. } = answer;
     if failure.is_none() {
-        let of = TimeOf::First { work: answer.size };
-        let note = TimeNote { kind, version, endpoint, load: answer.load, of, time: answer.first };
-        rollouts.note_time(SERVICE, note, incarnation, at(now));
+        let of = TimeKind::FirstByte { work: answer.size };
+        let note = AttemptTime { kind, version, endpoint, load: answer.load, of, time: answer.first };
+        rollouts.record_time(SERVICE, note, incarnation, at(now));
     }
-    let sample = Sample { kind, version, endpoint, failure: *failure };
-    rollouts.note(SERVICE, sample, incarnation, at(now));
+    let sample = AttemptOutcome { kind, version, endpoint, failure: *failure };
+    rollouts.record_outcome(SERVICE, sample, incarnation, at(now));
 }
--- a/havengrade_dev/tests/published_bad_version.rs
+++ b/havengrade_dev/tests/published_bad_version.rs
@@ -114,14 +114,14 @@
     let order = RolloutOrder { service: "events".into(), version: "v2".into(), duration };
     bench.store.operate(OperatorEvent::Rollout(order));
     ask_each(&bench, "good", 700).await;
-    let usual = bench.router.context().shared.rollouts().usual("events", "v2");
+    let usual = bench.router.context().shared.rollouts().baseline("events", "v2");
     assert_eq!(bench.store.known_versions().len(), 1);
     let Bench { store, router, .. } = bench;
     router.kill();
 
     let again = Bench::begin(Vec::new(), store).await;
     sleep(Duration::from_secs(2)).await;
-    let known = again.router.context().shared.rollouts().usual("events", "v2");
+    let known = again.router.context().shared.rollouts().baseline("events", "v2");
     let ended = |evidence: &[RouteEvidence]| evidence.iter().map(|evidence| evidence.seen.ended).sum::<u64>();
     assert!(ended(&known) > 500 && ended(&known) <= ended(&usual), "{} of {}", ended(&known), ended(&usual));
 }
--- a/havengrade_dev/tests/published_fleet.rs
+++ b/havengrade_dev/tests/published_fleet.rs
@@ -8,7 +8,7 @@
 
 use havengrade_core::published::{
     directory::{DirectoryEvent, ListedEndpoint},
-    rollout::{Failure, RolloutOrder, Sample},
+    rollout::{AttemptOutcome, Failure, RolloutOrder},
     route::{Publication, PublishedAccount},
 };
 use havengrade_dev::{
@@ -424,14 +424,14 @@
     for id in 0..60 {
         let version = if id % 3 == 0 { "v2" } else { "v1" };
         let failure = (id % 3 == 0).then_some(Failure::Error);
-        let sample = Sample { kind: "letters/small", version, endpoint: "e1", failure };
-        shared.rollouts().note("models", sample, shared.incarnation, shared.clock.now());
+        let sample = AttemptOutcome { kind: "letters/small", version, endpoint: "e1", failure };
+        shared.rollouts().record_outcome("models", sample, shared.incarnation, shared.clock.now());
     }
     sleep(Duration::from_secs(2)).await;
     for router in &bench.routers {
         let shared = &router.context().shared;
         let rollouts = shared.rollouts();
-        let grounds = rollouts.grounds(shared.rollout_bounds(), shared.clock.now());
+        let grounds = rollouts.evidence_summaries(shared.rollout_bounds(), shared.clock.now());
         assert_eq!(grounds[0].phase, "halted", "{grounds:?}");
         // What the first one counted reached the others whole.
         assert_eq!((grounds[0].new.errors, grounds[0].old.ended), (20, 40));
--- a/havengrade_router/src/published/answers.rs
+++ b/havengrade_router/src/published/answers.rs
@@ -7,7 +7,7 @@
 
 use havengrade_core::published::{
     directory::ListedEndpoint,
-    rollout::{Failure, KIND_SEPARATOR, Sample, TimeNote, TimeOf},
+    rollout::{AttemptOutcome, AttemptTime, Failure, KIND_SEPARATOR, TimeKind},
 };
 use hyper::StatusCode;
 
@@ -36,8 +36,8 @@
 pub(super) fn note_end(cx: &PublishedContext, job: &Job, endpoint: &ListedEndpoint, failure: Option<Failure>) {
     let kind = kind_of(job);
     let (version, endpoint) = (endpoint.version.as_str(), endpoint.id.as_str());
-    let sample = Sample { kind: &kind, version, endpoint, failure };
-    cx.shared.rollouts().note(&job.service, sample, cx.shared.incarnation, cx.shared.clock.now());
+    let sample = AttemptOutcome { kind: &kind, version, endpoint, failure };
+    cx.shared.rollouts().record_outcome(&job.service, sample, cx.shared.incarnation, cx.shared.clock.now());
 }
 
 /// Notes that a version serves the session of a request, which keeps to it.
@@ -45,9 +45,9 @@
     let Some(session) = &job.facts.session else { return };
     let bounds = cx.shared.rollout_bounds();
     let mut rollouts = cx.shared.rollouts();
-    let is_unsettled = rollouts.has_unsettled_sessions(&job.service, bounds, now);
+    let is_unsettled = rollouts.may_have_mixed_sessions(&job.service, bounds, now);
     let known = rollouts.session_version(session, bounds, now).cloned();
-    rollouts.begin_request(session, version, job.limit, now);
+    rollouts.begin_session_request(session, version, job.limit, now);
     drop(rollouts);
     if is_unsettled && known.as_deref() != Some(version) {
         log_placed(job, session, known.as_deref(), version);
@@ -71,14 +71,14 @@
 /// Notes that a request of a session is no longer in progress, however it ended.
 pub(super) fn release_session(cx: &PublishedContext, session: Option<&str>) {
     if let Some(session) = session {
-        cx.shared.rollouts().end_session_request(session, cx.shared.clock.now());
+        cx.shared.rollouts().mark_session_idle(session, cx.shared.clock.now());
     }
 }
 
 /// Notes that a request of a session has ended; the session's pause counts from then.
 pub(super) fn note_session_end(cx: &PublishedContext, job: &Job, version: &str) {
     if let Some(session) = &job.facts.session {
-        cx.shared.rollouts().end_request(session, version, cx.shared.clock.now());
+        cx.shared.rollouts().extend_session(session, version, cx.shared.clock.now());
     }
 }
 
@@ -96,19 +96,19 @@
 
 /// Notes the time from a request to the first byte of its answer, or for which it was waited in vain.
 pub(super) fn note_first(cx: &PublishedContext, job: &Job, made: &Try, took: Duration) {
-    note_time(cx, job, made, TimeOf::First { work: work_of(job) }, took);
+    note_time(cx, job, made, TimeKind::FirstByte { work: work_of(job) }, took);
 }
 
 /// Notes the time between two events of a stream.
 pub(super) fn note_pace(cx: &PublishedContext, job: &Job, made: &Try, pause: Duration) {
-    note_time(cx, job, made, TimeOf::Pace, pause);
+    note_time(cx, job, made, TimeKind::PerEvent, pause);
 }
 
-fn note_time(cx: &PublishedContext, job: &Job, made: &Try, of: TimeOf, time: Duration) {
+fn note_time(cx: &PublishedContext, job: &Job, made: &Try, of: TimeKind, time: Duration) {
     let kind = kind_of(job);
     let (version, endpoint) = (made.endpoint.version.as_str(), made.endpoint.id.as_str());
-    let note = TimeNote { kind: &kind, version, endpoint, load: made.load, of, time };
-    cx.shared.rollouts().note_time(&job.service, note, cx.shared.incarnation, cx.shared.clock.now());
+    let note = AttemptTime { kind: &kind, version, endpoint, load: made.load, of, time };
+    cx.shared.rollouts().record_time(&job.service, note, cx.shared.incarnation, cx.shared.clock.now());
 }
 
 /// What a request's answers are compared with.
--- a/havengrade_router/src/published/choose.rs
+++ b/havengrade_router/src/published/choose.rs
@@ -8,10 +8,10 @@
         directory::ListedEndpoint,
         peers::Work,
         placement::{Candidate, PlacementContext, Prompt, place},
-        rollout::Allowed,
+        rollout::AllowedVersions,
         send_limits::Readiness,
         sent_prefixes::Prefix,
-        times::Load,
+        time_histogram::Load,
     },
 };
 
@@ -81,13 +81,17 @@
     now: SystemTime,
 ) -> Vec<&'a ListedEndpoint> {
     let rollouts = cx.shared.rollouts();
-    let allowed = rollouts.allowed(&job.service, &job.id, session, cx.shared.rollout_bounds(), now);
-    let is_sound = |endpoint: &&ListedEndpoint| !rollouts.is_barred(&job.service, &endpoint.version);
+    let allowed = rollouts.allowed_versions(&job.service, &job.id, session, cx.shared.rollout_bounds(), now);
+    let is_sound = |endpoint: &&ListedEndpoint| !rollouts.is_rolled_back(&job.service, &endpoint.version);
     let sound = endpoints.iter().copied().filter(is_sound);
     let versioned: Vec<_> = sound.clone().filter(|e| allowed.includes(&e.version)).collect();
-    let is_other = |endpoint: &&ListedEndpoint| !rollouts.is_ordered(&job.service, &endpoint.version);
-    let is_kept = matches!(&allowed, Allowed::Only(version) if !rollouts.is_ordered(&job.service, version));
-    if !versioned.is_empty() || !rollouts.may_take_any(&job.service) || (is_kept && endpoints.iter().any(is_other)) {
+    let is_other = |endpoint: &&ListedEndpoint| !rollouts.is_target_version(&job.service, &endpoint.version);
+    let is_kept =
+        matches!(&allowed, AllowedVersions::Only(version) if !rollouts.is_target_version(&job.service, version));
+    if !versioned.is_empty()
+        || !rollouts.may_use_any_version(&job.service)
+        || (is_kept && endpoints.iter().any(is_other))
+    {
         // Where another version has replaced that of the session, there is nothing that the session may go to.
         return versioned;
     }
@@ -104,11 +108,11 @@
 ) -> Vec<&'a ListedEndpoint> {
     let rollouts = cx.shared.rollouts();
     let session = job.facts.session.as_deref();
-    if !rollouts.may_leave_trial(&job.service, session, cx.shared.rollout_bounds(), now) {
+    if !rollouts.may_use_old_versions(&job.service, session, cx.shared.rollout_bounds(), now) {
         return Vec::new();
     }
-    let is_old = |endpoint: &&ListedEndpoint| !rollouts.is_ordered(&job.service, &endpoint.version);
-    let is_sound = |endpoint: &&ListedEndpoint| !rollouts.is_barred(&job.service, &endpoint.version);
+    let is_old = |endpoint: &&ListedEndpoint| !rollouts.is_target_version(&job.service, &endpoint.version);
+    let is_sound = |endpoint: &&ListedEndpoint| !rollouts.is_rolled_back(&job.service, &endpoint.version);
     endpoints.iter().copied().filter(is_old).filter(is_sound).collect()
 }
 
@@ -130,11 +134,11 @@
         };
     }
     let rollouts = cx.shared.rollouts();
-    let is_bad = |endpoint: &&ListedEndpoint| rollouts.is_bad(&job.service, &endpoint.version);
-    if !rollouts.may_take_any(&job.service) && endpoints.iter().all(is_bad) {
+    let is_bad = |endpoint: &&ListedEndpoint| rollouts.is_halted(&job.service, &endpoint.version);
+    if !rollouts.may_use_any_version(&job.service) && endpoints.iter().all(is_bad) {
         return Refusal::BadVersion;
     }
-    let left = session.and_then(|session| rollouts.session_left(session, cx.shared.rollout_bounds(), now));
+    let left = session.and_then(|session| rollouts.session_time_left(session, cx.shared.rollout_bounds(), now));
     match left {
         Some(left) if !endpoints.is_empty() => Refusal::SessionVersionGone { left },
         _ => Refusal::NoEndpoint,
--- a/havengrade_router/src/published/context.rs
+++ b/havengrade_router/src/published/context.rs
@@ -340,7 +340,10 @@
     /// The operators' bounds on roll-outs.
     pub fn rollout_bounds(&self) -> RolloutBounds {
         let settings = self.tuning.load();
-        RolloutBounds { max_share: settings.max_trial_share, session_time: Duration::from_secs_f64(settings.session_s) }
+        RolloutBounds {
+            max_share: settings.max_trial_share,
+            session_idle_timeout: Duration::from_secs_f64(settings.session_s),
+        }
     }
 
     /// The parts of prompts that were sent to endpoints, locked for a moment.
--- a/havengrade_router/src/published/peers.rs
+++ b/havengrade_router/src/published/peers.rs
@@ -11,7 +11,7 @@
     ids::EndpointId,
     published::{
         peers::{Peer, Work, WorkReport},
-        rollout::Learned,
+        rollout::RolloutUpdate,
         startup::FirstReaders,
     },
 };
@@ -175,7 +175,7 @@
         let Some((at, sent)) = &self.sent else { return true };
         let pause = if self.cx.shared.peers().is_large() { LARGE_FLEET_PAUSE } else { REPORT_PAUSE };
         let is_news = sent != work
-            || self.cx.shared.rollouts().has_news(self.cx.shared.incarnation, now)
+            || self.cx.shared.rollouts().has_unreported_evidence(self.cx.shared.incarnation, now)
             || self.cx.shared.quarantine().has_unreported()
             || self.cx.shared.send_limits().signals.has_unreported();
         now >= *at + if is_news { pause } else { REPORT_EVERY }
@@ -254,7 +254,7 @@
 
 fn own_report(cx: &PublishedContext, seq: u64, work: &[(EndpointId, Work)]) -> Report {
     let now = cx.shared.clock.now();
-    let rollouts = cx.shared.rollouts().news(cx.shared.rollout_bounds(), cx.shared.incarnation, now);
+    let rollouts = cx.shared.rollouts().next_report(cx.shared.rollout_bounds(), cx.shared.incarnation, now);
     let quarantine = cx.shared.quarantine().next_report(now);
     let signals = cx.shared.send_limits().signals.next_report(now);
     Report { work: WorkReport { peer: cx.me(), seq, work: work.to_vec() }, rollouts, quarantine, signals }
@@ -308,7 +308,7 @@
     if peer.vm == cx.shared.settings.vm.id {
         return;
     }
-    let learned = cx.shared.rollouts().hear(peer.incarnation, report.rollouts, now);
+    let learned = cx.shared.rollouts().merge_report(peer.incarnation, report.rollouts, now);
     for learned in learned {
         log_learned(&learned, peer);
     }
@@ -319,20 +319,20 @@
     cx.shared.tell_heard();
 }
 
-fn log_learned(learned: &Learned, from: &Peer) {
+fn log_learned(learned: &RolloutUpdate, from: &Peer) {
     match learned {
-        Learned::Beginning { status, age } => {
+        RolloutUpdate::EarlierStart { status, age } => {
             let age_ms = age.as_millis() as u64;
             log::info!(service = status.service.as_str(), age_ms, from = from.vm.as_str(); "a roll-out began earlier");
         },
-        Learned::State(status) => {
+        RolloutUpdate::State(status) => {
             let line = format!("{} to {}: {:?}", status.service, status.version, status.outcome);
             log::info!(state = line.as_str(), from = from.vm.as_str(); "state of a roll-out learned");
         },
-        Learned::Halt(told) => log::warn!(
+        RolloutUpdate::Halt(told) => log::warn!(
             service = told.service.as_str(),
             version = told.version.as_str(),
-            reason = told.halt.reason(),
+            reason = told.reason.description(),
             from = from.vm.as_str();
             "a version gets no more requests"
         ),
--- a/havengrade_router/src/published/rollouts.rs
+++ b/havengrade_router/src/published/rollouts.rs
@@ -10,9 +10,9 @@
 use havengrade_core::{
     ids::ServiceId,
     published::{
-        grounds::{Counted, Grounds},
+        evidence_summary::{EvidenceSummary, VersionCounts},
         position::Era,
-        rollout::{RolloutOutcome, RolloutStatus, RouteEvidence, ToldHalt, ToldRollout, Verdict},
+        rollout::{ReportedHalt, ReportedRollout, RolloutOutcome, RolloutStatus, RouteEvidence, StatusUpdate},
     },
 };
 use ractor::{Actor, ActorCell, ActorProcessingErr, ActorRef};
@@ -83,20 +83,23 @@
 
 /// How all roll-outs stand, and what is known of the versions before, for a VM that starts; none where this VM does not know
 /// it itself.
-pub(super) fn told_rollouts(cx: &PublishedContext, now: SystemTime) -> Option<Vec<(ToldRollout, Vec<RouteEvidence>)>> {
+pub(super) fn told_rollouts(
+    cx: &PublishedContext,
+    now: SystemTime,
+) -> Option<Vec<(ReportedRollout, Vec<RouteEvidence>)>> {
     let rollouts = cx.shared.rollouts();
-    let usual = |status: &RolloutStatus| rollouts.usual(&status.service, &status.version);
-    let told = rollouts.statuses().map(|status| (rollouts.told(status, now), usual(status)));
+    let usual = |status: &RolloutStatus| rollouts.baseline(&status.service, &status.version);
+    let told = rollouts.statuses().map(|status| (rollouts.reported_rollout(status, now), usual(status)));
     (!rollouts.needs_statuses()).then(|| told.collect())
 }
 
 /// Takes how all roll-outs stand from another VM, and what it knows of the versions before.
-pub(super) fn take_told(cx: &PublishedContext, told: impl Iterator<Item = (ToldRollout, Vec<RouteEvidence>)>) {
+pub(super) fn take_told(cx: &PublishedContext, told: impl Iterator<Item = (ReportedRollout, Vec<RouteEvidence>)>) {
     let mut rollouts = cx.shared.rollouts();
-    for (ToldRollout { status, .. }, usual) in told {
-        rollouts.take_usual(&status.service, &status.version, usual);
+    for (ReportedRollout { status, .. }, usual) in told {
+        rollouts.merge_baseline(&status.service, &status.version, usual);
         let line = format!("{} to {}: {:?}", status.service, status.version, status.outcome);
-        if !rollouts.is_settled(&status) && rollouts.note_status(status) {
+        if !rollouts.is_settled(&status) && rollouts.record_status(status) {
             log::info!(state = line.as_str(); "state of a roll-out taken from another VM");
         }
     }
@@ -104,25 +107,25 @@
 }
 
 /// Tells that a version is to get nothing more, by this VM's own judgement.
-fn log_halt(told: &ToldHalt) {
+fn log_halt(told: &ReportedHalt) {
     metrics::counter!("rollouts_halted", "service" => told.service.clone()).increment(1);
     log::warn!(
         service = told.service.as_str(),
         version = told.version.as_str(),
-        reason = told.halt.reason();
+        reason = told.reason.description();
         "a version gets no more requests"
     );
 }
 
-fn log_grounds(grounds: &Grounds) {
-    metrics::gauge!("rollout_odds", "service" => grounds.service.clone()).set(grounds.odds);
+fn log_grounds(grounds: &EvidenceSummary) {
+    metrics::gauge!("rollout_odds", "service" => grounds.service.clone()).set(grounds.log_odds);
     log::info!(
         service = grounds.service.as_str(),
         version = grounds.version.as_str(),
         phase = grounds.phase,
         age_ms = grounds.age.as_millis() as u64,
-        odds = format!("{:.1}", grounds.odds).as_str(),
-        turn = format!("{:.1}", grounds.turn).as_str(),
+        odds = format!("{:.1}", grounds.log_odds).as_str(),
+        turn = format!("{:.1}", grounds.degradation_log_odds).as_str(),
         writers = grounds.writers,
         new = counted(&grounds.new).as_str(),
         old = counted(&grounds.old).as_str();
@@ -131,9 +134,11 @@
 }
 
 /// What was counted for a version: of how many tries how many failed, and of how many times how many were slow.
-fn counted(counted: &Counted) -> String {
-    let Counted { ended, failed, errors, timed, slow, paced, dragging } = counted;
-    format!("{failed}/{ended} failed, {errors} errors, {slow}/{timed} slow, {dragging}/{paced} dragging")
+fn counted(counted: &VersionCounts) -> String {
+    let VersionCounts { ended, failed, errors, first_byte_times, slow_first_bytes, event_times, slow_events } = counted;
+    format!(
+        "{failed}/{ended} failed, {errors} errors, {slow_first_bytes}/{first_byte_times} slow, {slow_events}/{event_times} dragging"
+    )
 }
 
 struct RolloutState {
@@ -193,22 +198,22 @@
     async fn look(&mut self) {
         let now = self.cx.shared.clock.now();
         let bounds = self.cx.shared.rollout_bounds();
-        let halted = self.cx.shared.rollouts().judge(bounds, now);
+        let halted = self.cx.shared.rollouts().evaluate(bounds, now);
         self.log_grounds(now);
         halted.iter().for_each(log_halt);
         self.write_again().await;
-        if !self.cx.shared.rollouts().is_any_watched(now) {
+        if !self.cx.shared.rollouts().is_any_monitored(now) {
             self.due.clear();
             return;
         }
         if self.must_read(now) && !self.read().await {
             return;
         }
-        if !self.has_read_kept && self.cx.shared.rollouts().lacks_usual(now) {
+        if !self.has_read_kept && self.cx.shared.rollouts().lacks_baseline(now) {
             self.read_kept().await;
         }
-        let verdicts = self.cx.shared.rollouts().verdicts(bounds, now);
-        for verdict in verdicts {
+        let status_updates = self.cx.shared.rollouts().status_updates(bounds, now);
+        for verdict in status_updates {
             if self.is_due(&verdict, now) {
                 self.write(&verdict).await;
             }
@@ -226,7 +231,7 @@
             Ok(there) => there,
             Err(error) => return log::warn!("states of roll-outs were not read: {error}"),
         };
-        let missing: Vec<RolloutStatus> = self.cx.shared.rollouts().missing_in(&there);
+        let missing: Vec<RolloutStatus> = self.cx.shared.rollouts().statuses_missing_from(&there);
         self.may_miss_states = !missing.is_empty();
         for status in missing {
             // Another reader that writes first makes this a conflict, and the next look finds its record.
@@ -236,7 +241,7 @@
 
     /// Tells what this VM's judgement rests on: at each change of phase, and now and then while a roll-out is under way.
     fn log_grounds(&mut self, now: SystemTime) {
-        let known = self.cx.shared.rollouts().grounds(self.cx.shared.rollout_bounds(), now);
+        let known = self.cx.shared.rollouts().evidence_summaries(self.cx.shared.rollout_bounds(), now);
         for grounds in known {
             let told = self.told.get(&grounds.service).copied();
             let is_news = told.is_none_or(|(phase, _)| phase != grounds.phase);
@@ -270,7 +275,7 @@
         self.read_at = Some(asked);
         for status in statuses {
             let line = format!("{} to {}: {:?}", status.service, status.version, status.outcome);
-            if self.cx.shared.rollouts().note_status(status) {
+            if self.cx.shared.rollouts().record_status(status) {
                 log::info!(state = line.as_str(); "state of a roll-out read");
             }
         }
@@ -290,7 +295,7 @@
             match inflate(&text) {
                 Ok(usual) => {
                     log::info!(service = service.as_str(), replaced_by = replaced_by.as_str(); "earlier version known");
-                    self.cx.shared.rollouts().take_usual(&service, &replaced_by, usual);
+                    self.cx.shared.rollouts().merge_baseline(&service, &replaced_by, usual);
                 },
                 Err(error) => log::error!(service = service.as_str(); "a kept version can't be read: {error}"),
             }
@@ -299,14 +304,14 @@
 
     /// Keeps what is known of the version that is about to go, since starts need it to judge the new one.
     async fn keep(&mut self, status: &RolloutStatus) -> Result<(), StoreError> {
-        let usual = self.cx.shared.rollouts().usual(&status.service, &status.version);
+        let usual = self.cx.shared.rollouts().baseline(&status.service, &status.version);
         let text = deflate(&usual).or_else(|error| NotDoneSnafu { reason: error.to_string() }.fail())?;
         let known = KnownVersion { service: status.service.clone(), replaced_by: status.version.clone(), text };
         self.book.keep(&known).await
     }
 
     /// Whether this VM should write now, or leave it to another for some time yet.
-    fn is_due(&mut self, verdict: &Verdict, now: SystemTime) -> bool {
+    fn is_due(&mut self, verdict: &StatusUpdate, now: SystemTime) -> bool {
         let outcome = verdict.status.outcome;
         let spread = if outcome == RolloutOutcome::Running { TAKE_UP_SPREAD_MS } else { END_SPREAD_MS };
         let known = self.due.get(&verdict.status.service).filter(|(due, _)| *due == outcome);
@@ -318,7 +323,7 @@
         now >= at
     }
 
-    async fn write(&mut self, verdict: &Verdict) {
+    async fn write(&mut self, verdict: &StatusUpdate) {
         let is_final = verdict.status.outcome != RolloutOutcome::Running;
         // A final state must not overwrite another final one, so what others wrote is read first.
         if is_final && !self.read().await {
@@ -341,7 +346,7 @@
         match self.book.write(status).await {
             Ok(WriteOutcome::Written) => {
                 log::info!(state = line.as_str(), reason = reason; "state of a roll-out written");
-                self.cx.shared.rollouts().note_status(status.clone());
+                self.cx.shared.rollouts().record_status(status.clone());
             },
             Ok(WriteOutcome::Conflict) => {
                 log::info!(state = line.as_str(); "another VM wrote the state of a roll-out first");
--- a/havengrade_router/src/published/takers.rs
+++ b/havengrade_router/src/published/takers.rs
@@ -79,11 +79,11 @@
 /// Takes up an order to roll out a version.
 fn take_order(cx: &PublishedContext, order: RolloutOrder, is_old: bool) {
     let line = format!("{} to {}", order.service, order.version);
-    if cx.shared.rollouts().order(order, cx.shared.clock.now()) {
+    if cx.shared.rollouts().add_order(order, cx.shared.clock.now()) {
         log::info!(order = line.as_str(); "roll-out ordered");
     }
     if is_old {
-        cx.shared.rollouts().set_old_orders();
+        cx.shared.rollouts().set_has_earlier_orders();
         rollouts::hurry(cx);
     }
 }
@@ -158,7 +158,7 @@
         cx.shared.set_endpoints_known();
         let directory = &self.directory;
         cx.shared.channels.prune(|id| directory.get(id).is_some(), now);
-        cx.shared.rollouts().prune(cx.shared.rollout_bounds().session_time, now);
+        cx.shared.rollouts().prune_sessions(cx.shared.rollout_bounds().session_idle_timeout, now);
     }
 }
 
--- a/havengrade_router/src/published/tries.rs
+++ b/havengrade_router/src/published/tries.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime};
 
-use havengrade_core::published::{attempt::RunState, directory::ListedEndpoint, times::Load};
+use havengrade_core::published::{attempt::RunState, directory::ListedEndpoint, time_histogram::Load};
 use hyper::{Response, StatusCode, body::Incoming, http::response};
 use tokio::time::timeout;
 
--- a/havengrade_router/src/published/wire.rs
+++ b/havengrade_router/src/published/wire.rs
@@ -5,15 +5,15 @@
 use havengrade_core::{
     ids::EndpointId,
     published::{
+        answer_window::{AnswerCounts, RecentAnswerCounts},
         directory::{DirectoryEvent, ListedEndpoint},
         peers::{Peer, Work, WorkReport},
-        recent::{Recent, SeenLately},
         rollout::{
-            Halt, KeptSession, RolloutNews, RolloutOutcome, RolloutStatus, RouteEvidence, Seen, ToldHalt, ToldRecent,
-            ToldRollout,
+            AttemptStats, HaltReason, ReportedAnswerCounts, ReportedHalt, ReportedRollout, RolloutOutcome,
+            RolloutReport, RolloutStatus, RouteEvidence, SessionAffinity,
         },
         signals::{ReportedLimit, ReportedSignal},
-        times::{LoadedTimes, Times},
+        time_histogram::{TimeHistogram, TimeHistogramByLoad},
     },
     quarantine::{QuarantineReport, ReportedAnswer, ReportedCrash, ReportedQuarantineEntry},
 };
@@ -36,7 +36,7 @@
     /// Its work in progress.
     pub(super) work: WorkReport,
     /// What it tells of roll-outs.
-    pub(super) rollouts: RolloutNews,
+    pub(super) rollouts: RolloutReport,
     /// What it tells of requests that crash endpoints.
     pub(super) quarantine: QuarantineReport,
     /// What endpoints said of themselves.
@@ -48,7 +48,7 @@
     let work = work
         .into_iter()
         .map(|(endpoint, work)| EndpointWork::new(endpoint, to_i32(work.requests), to_i32(work.tokens)));
-    let RolloutNews { evidence, states, halts, recent, sessions } = report.rollouts;
+    let RolloutReport { evidence, states, halts, recent, sessions } = report.rollouts;
     let evidence: Vec<_> = evidence.into_iter().map(encode_evidence).collect();
     let rollouts: Vec<_> = states.into_iter().map(|told| encode_rollout(told, Vec::new())).collect();
     let halts: Vec<_> = halts.into_iter().map(encode_halt).collect();
@@ -83,7 +83,7 @@
     let halts = report.halts.unwrap_or_default().into_iter().filter_map(decode_halt);
     let recent = report.recent_answers.unwrap_or_default().into_iter().map(decode_recent);
     let sessions = report.sessions.unwrap_or_default().into_iter().map(decode_session);
-    let rollouts = RolloutNews {
+    let rollouts = RolloutReport {
         evidence: evidence.collect(),
         states: states.collect(),
         halts: halts.collect(),
@@ -101,14 +101,14 @@
 }
 
 /// Writes a session; its mark is 64 bits without a meaning of their own, so it passes through the schema's signed integers.
-fn encode_session(kept: KeptSession) -> WireSession {
+fn encode_session(kept: SessionAffinity) -> WireSession {
     let used_ms = to_i64(kept.used_ago.as_millis() as u64);
     WireSession::new(kept.session.cast_signed(), kept.version, used_ms)
 }
 
-fn decode_session(kept: WireSession) -> KeptSession {
+fn decode_session(kept: WireSession) -> SessionAffinity {
     let used_ago = Duration::from_millis(from_i64(kept.used_ms));
-    KeptSession { session: kept.session.cast_unsigned(), version: kept.version, used_ago }
+    SessionAffinity { session: kept.session.cast_unsigned(), version: kept.version, used_ago }
 }
 
 pub(super) fn encode_signals(told: Vec<ReportedSignal>) -> Vec<EndpointSignal> {
@@ -234,72 +234,75 @@
 }
 
 fn decode_evidence(evidence: WireEvidence) -> RouteEvidence {
-    let seen = Seen {
+    let seen = AttemptStats {
         ended: from_i64(evidence.ended),
         failed: from_i64(evidence.failed),
         errors: from_i64(evidence.errors.unwrap_or_default()),
-        first: LoadedTimes {
+        first: TimeHistogramByLoad {
             light: decode_times(evidence.first_times),
             heavy: decode_times(evidence.loaded_first_times),
         },
-        pace: LoadedTimes { light: decode_times(evidence.paces), heavy: decode_times(evidence.loaded_paces) },
+        pace: TimeHistogramByLoad { light: decode_times(evidence.paces), heavy: decode_times(evidence.loaded_paces) },
     };
     RouteEvidence { service: evidence.service_name, version: evidence.version, route: evidence.route, seen }
 }
 
-fn encode_times(times: &Times) -> Option<Vec<i32>> {
+fn encode_times(times: &TimeHistogram) -> Option<Vec<i32>> {
     let number = |number: usize| i32::try_from(number).unwrap_or(i32::MAX);
-    let pairs: Vec<i32> = times.pairs().flat_map(|(bucket, count)| [number(bucket), to_i32(count)]).collect();
+    let pairs: Vec<i32> = times.buckets().flat_map(|(bucket, count)| [number(bucket), to_i32(count)]).collect();
     (!pairs.is_empty()).then_some(pairs)
 }
 
-fn decode_times(pairs: Option<Vec<i32>>) -> Times {
+fn decode_times(pairs: Option<Vec<i32>>) -> TimeHistogram {
     let pairs = pairs.unwrap_or_default();
     let pairs = pairs.as_chunks().0.iter().map(|[bucket, count]| (from_i32(*bucket) as usize, from_i32(*count)));
-    Times::from_pairs(pairs)
+    TimeHistogram::from_buckets(pairs)
 }
 
-fn encode_halt(told: ToldHalt) -> RolloutHalt {
-    let reason = match told.halt {
-        Halt::Worse => WORSE,
-        Halt::Turned => TURNED,
-        Halt::AfterSuccess => AFTER_SUCCESS,
+fn encode_halt(told: ReportedHalt) -> RolloutHalt {
+    let reason = match told.reason {
+        HaltReason::Worse => WORSE,
+        HaltReason::Degraded => TURNED,
+        HaltReason::FailedAfterSuccess => AFTER_SUCCESS,
     };
     RolloutHalt::new(told.service, told.version, reason.to_owned())
 }
 
-fn decode_halt(halt: RolloutHalt) -> Option<ToldHalt> {
+fn decode_halt(halt: RolloutHalt) -> Option<ReportedHalt> {
     let reason = match halt.reason.as_str() {
-        WORSE => Halt::Worse,
-        TURNED => Halt::Turned,
-        AFTER_SUCCESS => Halt::AfterSuccess,
+        WORSE => HaltReason::Worse,
+        TURNED => HaltReason::Degraded,
+        AFTER_SUCCESS => HaltReason::FailedAfterSuccess,
         other => {
             log::warn!("a report names the reason {other:?} of a halt, which is not known here");
             return None;
         },
     };
-    Some(ToldHalt { service: halt.service_name, version: halt.version, halt: reason })
+    Some(ReportedHalt { service: halt.service_name, version: halt.version, reason })
 }
 
-fn encode_recent(told: ToldRecent) -> RecentAnswers {
+fn encode_recent(told: ReportedAnswerCounts) -> RecentAnswers {
     let count = |count: u64| i32::try_from(count).unwrap_or(i32::MAX);
-    let SeenLately { endpoints, rest } = told.seen;
+    let RecentAnswerCounts { by_endpoint: endpoints, unattributed: rest } = told.counts;
     let endpoints = endpoints
         .into_iter()
         .map(|(endpoint, seen)| EndpointAnswers::new(endpoint, count(seen.answers), count(seen.errors)));
     RecentAnswers::new(told.service, endpoints.collect::<Vec<_>>(), count(rest.answers), count(rest.errors))
 }
 
-fn decode_recent(recent: RecentAnswers) -> ToldRecent {
-    let seen = |answers, errors| Recent { answers: from_i32(answers).into(), errors: from_i32(errors).into() };
+fn decode_recent(recent: RecentAnswers) -> ReportedAnswerCounts {
+    let seen = |answers, errors| AnswerCounts { answers: from_i32(answers).into(), errors: from_i32(errors).into() };
     let endpoints = recent.endpoints.into_iter().map(|entry| (entry.endpoint, seen(entry.answers, entry.errors)));
     let rest = seen(recent.rest_answers, recent.rest_errors);
-    ToldRecent { service: recent.service_name, seen: SeenLately { endpoints: endpoints.collect(), rest } }
+    ReportedAnswerCounts {
+        service: recent.service_name,
+        counts: RecentAnswerCounts { by_endpoint: endpoints.collect(), unattributed: rest },
+    }
 }
 
 /// Writes how a roll-out stands, and what is known of the version before.
-pub(super) fn encode_rollout(told: ToldRollout, usual: Vec<RouteEvidence>) -> RolloutState {
-    let ToldRollout { status, age } = told;
+pub(super) fn encode_rollout(told: ReportedRollout, usual: Vec<RouteEvidence>) -> RolloutState {
+    let ReportedRollout { status, age } = told;
     let age_ms = age.map(|age| to_i64(age.as_millis() as u64));
     let usual: Vec<_> = usual.into_iter().map(encode_evidence).collect();
     let usual = (!usual.is_empty()).then_some(usual);
@@ -312,10 +315,10 @@
 }
 
 /// Reads how a roll-out stands; none where its state is not known here.
-pub(super) fn decode_rollout(state: RolloutState) -> Option<ToldRollout> {
+pub(super) fn decode_rollout(state: RolloutState) -> Option<ReportedRollout> {
     let outcome = outcome_of(&state.outcome)?;
     let status = RolloutStatus { service: state.service_name, version: state.version, outcome };
-    Some(ToldRollout { status, age: state.age_ms.map(|age| Duration::from_millis(from_i64(age))) })
+    Some(ReportedRollout { status, age: state.age_ms.map(|age| Duration::from_millis(from_i64(age))) })
 }
 
 fn outcome_name(outcome: RolloutOutcome) -> &'static str {
