--- a/havengrade_core/src/admission.rs
+++ b/havengrade_core/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: limits of client accounts and early refusal.
+//! Admission control: concurrency and rate limits per client account.
 
 use std::{
     collections::HashMap,
@@ -7,95 +7,97 @@
 
 use crate::{config::Account, ids::AccountId};
 
-/// Why a request was not admitted.
+/// Limit of a client account that a request would exceed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AccountLimit {
-    /// Too many of the client account's requests are in progress.
+    /// Maximum number of requests in progress.
     Concurrency,
-    /// The client account started too many requests in the last second.
+    /// Maximum number of requests started per second.
     Rate,
 }
 
-/// What a client account uses, on this VM and on the others.
+/// Current usage of a client account on this VM and on the other VMs.
 #[derive(Clone, Copy, Debug, Default)]
 struct AccountUsage {
     in_progress: u32,
-    elsewhere: u32,
-    /// Tokens of the rate limit, in thousandths of a request.
-    tokens: u64,
-    refilled: Option<SystemTime>,
+    in_progress_elsewhere: u32,
+    /// Fill level of the rate limit's token bucket, in thousandths of a request.
+    millitokens: u64,
+    refilled_at: Option<SystemTime>,
 }
 
-/// Thousandths of a request.
-const WHOLE: u64 = 1000;
+/// Thousandths of a token in one token, and milliseconds in a second.
+const THOUSAND: u64 = 1000;
 
-/// Use of all client accounts.
+/// Usage of all client accounts.
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
-    uses: HashMap<AccountId, AccountUsage>,
+    usage_by_account: HashMap<AccountId, AccountUsage>,
 }
 
 impl Admission {
-    /// Admits a request or names the limit that stands against it and when to come again.
+    /// Admits a request if the client account is within its limits.
     ///
-    /// `sharers` is the number of VMs that share the client account's rate.
+    /// `vm_count` is the number of VMs that share the client account's rate.
     ///
     /// # Errors
     ///
-    /// The limit and the time after which another try may pass.
-    pub fn admit(&mut self, account: &Account, sharers: u32, now: SystemTime) -> Result<(), (AccountLimit, Duration)> {
-        /// Time after which a request in progress may have ended.
+    /// The limit that is reached, and the time after which a retry may be admitted.
+    pub fn admit(&mut self, account: &Account, vm_count: u32, now: SystemTime) -> Result<(), (AccountLimit, Duration)> {
+        /// Suggested retry delay, after which a request in progress may have ended.
         const CONCURRENCY_RETRY: Duration = Duration::from_secs(1);
 
-        let usage = self.uses.entry(account.id.clone()).or_default();
-        if usage.in_progress + usage.elsewhere >= account.max_concurrent {
+        let usage = self.usage_by_account.entry(account.id.clone()).or_default();
+        if usage.in_progress + usage.in_progress_elsewhere >= account.max_concurrent {
             return Err((AccountLimit::Concurrency, CONCURRENCY_RETRY));
         }
-        let rate = (u64::from(account.requests_per_second) * WHOLE / u64::from(sharers.max(1))).max(1);
+        let rate = (u64::from(account.requests_per_second) * THOUSAND / u64::from(vm_count.max(1))).max(1);
         usage.refill(rate, now);
-        if usage.tokens < WHOLE {
-            let wait = Duration::from_millis((WHOLE - usage.tokens) * WHOLE / rate);
+        if usage.millitokens < THOUSAND {
+            let wait = Duration::from_millis((THOUSAND - usage.millitokens) * THOUSAND / rate);
             return Err((AccountLimit::Rate, wait.max(Duration::from_millis(1))));
         }
-        usage.tokens -= WHOLE;
+        usage.millitokens -= THOUSAND;
         usage.in_progress += 1;
         Ok(())
     }
 
-    /// Ends a request that had been admitted.
+    /// Records the end of an admitted request.
     pub fn release(&mut self, account: &str) {
-        if let Some(usage) = self.uses.get_mut(account) {
+        if let Some(usage) = self.usage_by_account.get_mut(account) {
             usage.in_progress = usage.in_progress.saturating_sub(1);
         }
     }
 
-    /// Takes over how many requests the other VMs have in progress.
+    /// Sets the number of requests that the other VMs have in progress.
     pub fn set_in_progress_elsewhere(&mut self, account: &str, in_progress: u32) {
-        self.uses.entry(account.to_owned()).or_default().elsewhere = in_progress;
+        self.usage_by_account.entry(account.to_owned()).or_default().in_progress_elsewhere = in_progress;
     }
 
-    /// Requests in progress on this VM, by client account.
+    /// Returns the number of requests in progress on this VM for each client account.
     pub fn in_progress(&self) -> impl Iterator<Item = (&AccountId, u32)> {
-        self.uses.iter().map(|(account, usage)| (account, usage.in_progress))
+        self.usage_by_account.iter().map(|(account, usage)| (account, usage.in_progress))
     }
 }
 
 impl AccountUsage {
-    /// Adds what the rate gives since the last time, up to a second's worth and at least a request.
+    /// Refills the token bucket at `rate` millitokens per second.
+    ///
+    /// The bucket holds the tokens of one second, and at least one whole token.
     fn refill(&mut self, rate: u64, now: SystemTime) {
-        let most = rate.max(WHOLE);
-        let Some(refilled) = self.refilled else {
-            self.tokens = most;
-            self.refilled = Some(now);
+        let burst = rate.max(THOUSAND);
+        let Some(refilled_at) = self.refilled_at else {
+            self.millitokens = burst;
+            self.refilled_at = Some(now);
             return;
         };
-        let elapsed = now.duration_since(refilled).unwrap_or_default();
+        let elapsed = now.duration_since(refilled_at).unwrap_or_default();
         let millis = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
-        let gained = rate.saturating_mul(millis) / WHOLE;
+        let gained = rate.saturating_mul(millis) / THOUSAND;
         if gained == 0 {
             return;
         }
-        self.tokens = self.tokens.saturating_add(gained).min(most);
-        self.refilled = Some(now);
+        self.millitokens = self.millitokens.saturating_add(gained).min(burst);
+        self.refilled_at = Some(now);
     }
 }
--- a/havengrade_core/src/append_budget.rs
+++ b/havengrade_core/src/append_budget.rs
@@ -1,14 +1,14 @@
-//! The budget of appends: the log service takes some hundred a second from all VMs together.
+//! Rate limit on appends to the log service, which accepts some hundred a second from all VMs together.
 
 use std::time::{Duration, SystemTime};
 
-/// Appends that may be saved up.
+/// Maximum number of unused appends that accumulate, which bounds a burst.
 const MAX_SAVED_APPENDS: f64 = 8.0;
 
-/// A VM's share of the appends that the log service takes.
+/// Token bucket for a VM's share of the appends that the log service accepts.
 ///
-/// While few requests come, each record is appended at once; under load records gather while they wait
-/// for the next append, so that the log sees no more than its share from each VM.
+/// At low load each record is appended at once. Under load, records are batched while they wait for the
+/// next append, so that each VM stays within its share.
 ///
 /// ```
 /// use std::time::{Duration, SystemTime};
@@ -24,36 +24,36 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct AppendBudget {
-    saved: f64,
-    refilled: SystemTime,
+    available: f64,
+    refilled_at: SystemTime,
 }
 
 impl Default for AppendBudget {
     fn default() -> Self {
-        Self { saved: MAX_SAVED_APPENDS, refilled: SystemTime::UNIX_EPOCH }
+        Self { available: MAX_SAVED_APPENDS, refilled_at: SystemTime::UNIX_EPOCH }
     }
 }
 
 impl AppendBudget {
-    /// Takes an append out of a budget of `per_second`.
+    /// Acquires one append from a bucket that is refilled at `per_second` appends per second.
     ///
     /// # Errors
     ///
-    /// The time after which there will be one.
+    /// The time until an append is available.
     pub fn try_acquire(&mut self, per_second: f64, now: SystemTime) -> Result<(), Duration> {
-        let elapsed = now.duration_since(self.refilled).unwrap_or_default();
-        self.saved = (self.saved + elapsed.as_secs_f64() * per_second).min(MAX_SAVED_APPENDS);
-        self.refilled = now.max(self.refilled);
-        if self.saved >= 1.0 {
-            self.saved -= 1.0;
+        let elapsed = now.duration_since(self.refilled_at).unwrap_or_default();
+        self.available = (self.available + elapsed.as_secs_f64() * per_second).min(MAX_SAVED_APPENDS);
+        self.refilled_at = now.max(self.refilled_at);
+        if self.available >= 1.0 {
+            self.available -= 1.0;
             return Ok(());
         }
-        // Rounded up, so that the budget is there when the time is over.
-        let wait = (1.0 - self.saved) / per_second.max(f64::MIN_POSITIVE);
+        // Rounded up, so that the append is available once the wait is over.
+        let wait = (1.0 - self.available) / per_second.max(f64::MIN_POSITIVE);
         let millis = (wait * 1000.0).ceil().min(MAX_WAIT_MS);
         Err(Duration::from_millis(millis as u64))
     }
 }
 
-/// Longest wait for an append, in milliseconds.
+/// Maximum wait for an append, in milliseconds.
 const MAX_WAIT_MS: f64 = 1000.0;
--- a/havengrade_core/src/billing.rs
+++ b/havengrade_core/src/billing.rs
@@ -1,4 +1,4 @@
-//! Bills: one for each request, the first in offset order.
+//! Billing: each request is billed once, by its first bill in offset order.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -12,40 +12,41 @@
     ids::{AccountId, ClassId, EndpointId, Micros, RequestId, VersionId},
 };
 
-/// What a client account owes for a request.
+/// Charge to a client account for one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bill {
-    /// Request that it is for.
+    /// Id of the billed request.
     pub request_id: RequestId,
-    /// Client account that owes it.
+    /// Client account that is charged.
     pub account: AccountId,
-    /// Idempotency key of the request, if it has one.
+    /// Idempotency key of the request, if any.
     pub key: Option<String>,
     /// Request class.
     pub class: ClassId,
-    /// Version that gave the answer; none for plain services and scripts.
+    /// Model version that answered; `None` for plain services and scripts.
     pub version: Option<VersionId>,
-    /// Endpoint that gave the answer.
+    /// Endpoint that answered.
     pub endpoint: EndpointId,
-    /// Tokens used over all steps of the cascade.
+    /// Tokens used by all steps of the cascade.
     pub usage: TokenUsage,
-    /// Amount owed over all steps of the cascade.
+    /// Total cost of all steps of the cascade.
     pub cost: Micros,
-    /// When the answer was complete.
+    /// Time at which the answer was complete.
     pub at: SystemTime,
 }
 
-/// The bills that count, gathered from the streams that carry them.
+/// Deduplicated bills from the log streams that carry them.
 ///
-/// A bill stands in the stream of bills, or in the ledger with the outcome of its request. It may stand
-/// there more than once, since an append whose answer was lost is repeated; and attempts with one key may
-/// each leave one, since only the first in offset order counts.
+/// A bill is stored in the stream of bills, or in the ledger together with the outcome of its request.
+/// It may occur more than once, since an append is repeated when its reply is lost. Several attempts with
+/// the same key may also write one bill each. Only the first in offset order counts.
 ///
 /// ```
 /// # use havengrade_core::{billing::{Bill, Bills}, cost::TokenUsage};
 /// # let bill = |id: &str, key: Option<&str>| Bill {
 /// #     request_id: id.into(), account: "gate".into(), key: key.map(str::to_owned), class: "pledge".into(),
-/// #     version: None, endpoint: "e".into(), usage: TokenUsage::default(), cost: 1, at: std::time::SystemTime::UNIX_EPOCH,
+/// #     version: None, endpoint: "e".into(), usage: TokenUsage::default(), cost: 1,
+/// #     at: std::time::SystemTime::UNIX_EPOCH,
 /// # };
 /// let mut bills = Bills::default();
 /// assert!(bills.add(&bill("vm-1.a", Some("pledge-7"))));
@@ -59,11 +60,11 @@
 }
 
 impl Bills {
-    /// Adds a bill unless its request, or its key, has one; tells whether it counts.
+    /// Adds a bill unless its request or its key has already been billed. Returns whether it was added.
     pub fn add(&mut self, bill: &Bill) -> bool {
         let key = bill.key.as_ref().map(|key| (bill.account.clone(), key.clone()));
-        let has_one = key.as_ref().is_some_and(|key| self.keys.contains(key));
-        if has_one || self.by_request.contains_key(&bill.request_id) {
+        let is_key_billed = key.as_ref().is_some_and(|key| self.keys.contains(key));
+        if is_key_billed || self.by_request.contains_key(&bill.request_id) {
             return false;
         }
         self.keys.extend(key);
@@ -71,22 +72,22 @@
         true
     }
 
-    /// The bill of a request.
+    /// Returns the bill of a request.
     pub fn get(&self, request_id: &str) -> Option<&Bill> {
         self.by_request.get(request_id)
     }
 
-    /// All bills.
+    /// Returns all bills in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Bill> {
         self.by_request.values()
     }
 
-    /// Number of bills.
+    /// Returns the number of bills.
     pub fn len(&self) -> usize {
         self.by_request.len()
     }
 
-    /// Whether there is no bill.
+    /// Returns whether there are no bills.
     pub fn is_empty(&self) -> bool {
         self.by_request.is_empty()
     }
--- a/havengrade_core/src/cascade.rs
+++ b/havengrade_core/src/cascade.rs
@@ -1,4 +1,4 @@
-//! Cascades: where to start on the way from cheap to strong versions, and when to go on.
+//! Cascades: which model versions a request tries, from cheap to strong.
 
 use crate::{
     config::{Account, Cascade, Config, ModelVersion},
@@ -6,29 +6,29 @@
     ids::{Permille, VersionId},
 };
 
-/// Ratings that a version's prior quality counts for.
+/// Number of ratings that a version's prior quality weighs as much as.
 pub const PRIOR_WEIGHT: u64 = 20;
-/// Share of its answers that must reach the target for a version to be tried before a stronger one.
+/// Minimum share of a version's answers that reach the target for it to be tried before a stronger one.
 ///
-/// A try that seldom passes saves little and makes the caller wait for all of it; see
-/// docs/design/cascades.md for how the value was found.
-const LEAST_PASSES: f64 = 0.35;
+/// A try that seldom passes saves little, and the caller waits for all of its answer.
+const MIN_PASS_RATE: f64 = 0.35;
 /// Thousandths in a whole.
-const WHOLE: u64 = 1000;
+const PERMILLE_SCALE: u64 = 1000;
 
-/// The versions of a cascade that a request may use, from where it starts.
+/// Versions of a cascade that a request tries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CascadePlan {
-    /// Versions to try, in order.
+    /// The versions, in the order in which they are tried.
     pub versions: Vec<VersionId>,
 }
 
-/// Plans the versions that a request tries, in order.
+/// Plans which versions a request tries, in order.
 ///
-/// Where answers are checked, it takes the versions with the lowest expected cost: one that seldom
-/// passes is left out, since each of its tries costs and seldom saves. Otherwise it starts at the
-/// cheapest version whose quality in the class reaches the cascade's target, or else at the best. `draw`
-/// is a random number that decides about exploration.
+/// If answers are checked, the plan is the path with the lowest expected cost. It leaves out versions
+/// that seldom reach the target, since each of their tries costs and seldom saves a stronger one.
+/// Otherwise the plan starts at the cheapest version whose quality in the class reaches the cascade's
+/// target, or at the best one if none does. `draw` is a random number that selects requests for
+/// exploration.
 pub fn plan(
     cfg: &Config,
     account: &Account,
@@ -43,58 +43,60 @@
         .filter(|version| account.allows(version) && cfg.is_active(version))
         .filter_map(|version| cfg.versions.get(version))
         .collect();
-    let explores = draw % WHOLE < u64::from(cascade.explore);
-    let chosen = match (cascade.check_answers, explores) {
+    let is_exploring = draw % PERMILLE_SCALE < u64::from(cascade.explore);
+    let chosen = match (cascade.check_answers, is_exploring) {
         (true, true) => usable,
-        (true, false) => cheapest_way(&usable, class, evidence, cascade.quality_target),
-        (false, explores) => from_start(usable, class, cascade, evidence, explores),
+        (true, false) => cheapest_path(&usable, class, evidence, cascade.quality_target),
+        (false, is_exploring) => from_first_sufficient(usable, class, cascade, evidence, is_exploring),
     };
     CascadePlan { versions: chosen.into_iter().map(|version| version.id.clone()).collect() }
 }
 
-/// The versions from the cheapest that is good enough on; while exploring, from one step before it.
-fn from_start<'a>(
+/// Returns the versions from the cheapest sufficient one on, or from the step before it while exploring.
+fn from_first_sufficient<'a>(
     usable: Vec<&'a ModelVersion>,
     class: &str,
     cascade: &Cascade,
     evidence: &EvidenceTotals,
-    explores: bool,
+    is_exploring: bool,
 ) -> Vec<&'a ModelVersion> {
     let quality = |version: &ModelVersion| -> Permille {
         evidence.get(class, &version.id).quality(version.prior_quality, PRIOR_WEIGHT)
     };
-    let good_enough = usable.iter().position(|version| quality(version) >= cascade.quality_target);
+    let first_sufficient = usable.iter().position(|version| quality(version) >= cascade.quality_target);
     let best = (0..usable.len()).max_by_key(|index| quality(usable[*index])).unwrap_or_default();
-    let start = good_enough.unwrap_or(best);
-    usable.into_iter().skip(start.saturating_sub(usize::from(explores))).collect()
+    let start = first_sufficient.unwrap_or(best);
+    usable.into_iter().skip(start.saturating_sub(usize::from(is_exploring))).collect()
 }
 
-/// The way to the last version with the lowest expected cost.
-fn cheapest_way<'a>(
+/// Returns the path to the last version that has the lowest expected cost.
+fn cheapest_path<'a>(
     usable: &[&'a ModelVersion],
     class: &str,
     evidence: &EvidenceTotals,
     target: Permille,
 ) -> Vec<&'a ModelVersion> {
-    // Worked out from the last version back: what a way costs from each version on, and where it goes next.
-    let mut ways: Vec<(f64, Vec<&'a ModelVersion>)> = Vec::new();
+    // Dynamic programming from the last version backwards: the cheapest path from each version on.
+    let mut paths: Vec<(f64, Vec<&'a ModelVersion>)> = Vec::new();
     for version in usable.iter().rev() {
-        let rest = ways.iter().min_by(|a, b| a.0.total_cmp(&b.0));
-        let passes = pass_rate(version, class, evidence, target);
-        if rest.is_some() && passes < LEAST_PASSES {
+        let next = paths.iter().min_by(|a, b| a.0.total_cmp(&b.0));
+        let pass_probability = pass_rate(version, class, evidence, target);
+        if next.is_some() && pass_probability < MIN_PASS_RATE {
             continue;
         }
-        let fails = 1.0 - passes;
-        let cost = relative_cost(version) + rest.map_or(0.0, |(cost, _)| fails * cost);
-        let mut way = vec![*version];
-        way.extend(rest.map(|(_, rest)| rest.clone()).unwrap_or_default());
-        ways.push((cost, way));
+        let fail_probability = 1.0 - pass_probability;
+        let cost = relative_cost(version) + next.map_or(0.0, |(cost, _)| fail_probability * cost);
+        let mut path = vec![*version];
+        path.extend(next.map(|(_, next)| next.clone()).unwrap_or_default());
+        paths.push((cost, path));
     }
-    // The last version must be on the way, which each way here has.
-    ways.into_iter().min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, way)| way).unwrap_or_default()
+    // A plan must contain the last version, and each of these paths ends there.
+    paths.into_iter().min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, path)| path).unwrap_or_default()
 }
 
-/// How often the version's answers reach the target; a prior above it counts for half of them and more.
+/// Returns the estimated share of the version's answers that reach the target.
+///
+/// The prior share is at least one half if the prior quality reaches the target.
 fn pass_rate(version: &ModelVersion, class: &str, evidence: &EvidenceTotals, target: Permille) -> f64 {
     let prior = f64::from(version.prior_quality) / f64::from(version.prior_quality + target).max(1.0);
     evidence.get(class, &version.id).pass_rate(prior, PRIOR_WEIGHT as f64)
--- a/havengrade_core/src/claim.rs
+++ b/havengrade_core/src/claim.rs
@@ -1,7 +1,7 @@
-//! Claims: a request that may not be repeated runs at most once.
+//! Claims: a request that must not be repeated runs at most once.
 //!
-//! The first claim of a key in offset order is the only one that may ever send, and sends once.
-//! Claims do not lapse, so a holder that pauses does no harm.
+//! Only the holder of a key's first claim in offset order may send the request, and it sends it once.
+//! Claims do not expire, so a holder that resumes after a pause can't cause a second run.
 
 use std::time::SystemTime;
 
@@ -12,29 +12,29 @@
     secret::{Digest, parse_digest},
 };
 
-/// What a claim is about: a client account's idempotency key.
+/// Key of a claim: a client account and its idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey {
     /// The client account.
     pub account: AccountId,
-    /// The caller's idempotency key.
+    /// Idempotency key that the caller chose.
     pub key: String,
 }
 
-/// A VM's claim to be the one that runs a request.
+/// A VM's claim to the exclusive right to run a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// What is claimed.
+    /// Key that is claimed.
     pub key: ClaimKey,
-    /// The caller's number of this attempt, from 1.
+    /// Number of the attempt, counted by the caller from 1.
     pub attempt: Attempt,
-    /// Run of the process that claims.
+    /// Incarnation of the process that claims the key.
     pub holder: Incarnation,
     /// Id of the request.
     pub request_id: RequestId,
     /// Class of the request.
     pub class: ClassId,
-    /// Digest of the request's body, in hexadecimal.
+    /// Hexadecimal digest of the request's body.
     pub body_sha256: String,
     /// Endpoint that the holder will send to.
     pub endpoint: EndpointId,
@@ -42,7 +42,7 @@
     pub at: SystemTime,
 }
 
-/// An answer that is kept with its claim.
+/// Outcome of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
 pub enum Outcome {
@@ -55,39 +55,39 @@
         /// Body of the answer.
         body: String,
     },
-    /// The endpoint may have run the request, but its answer is lost.
+    /// The endpoint may have run the request, but the answer was lost.
     MayHaveRun,
 }
 
-/// How a claim, a void or a settlement fared in offset order.
+/// Result of applying a ledger record in offset order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyResult {
-    /// It took effect.
+    /// The record took effect.
     Applied,
-    /// A claim by this holder stands before it.
+    /// The key is already claimed.
     AlreadyClaimed {
-        /// Run of the process that holds the claim.
+        /// Incarnation of the process that holds the claim.
         holder: Incarnation,
-        /// Id of the request that holds it.
+        /// Id of the request that holds the claim.
         request_id: RequestId,
     },
-    /// Attempts up to this one have been declared not run.
+    /// The attempt has already been voided, that is, declared not run.
     AlreadyVoided {
-        /// The last such attempt.
+        /// The last voided attempt.
         up_to: Attempt,
     },
-    /// The key stands for another body.
+    /// The key was claimed for a different body.
     BodyMismatch,
-    /// Nothing is there that it could apply to.
+    /// The record does not apply: there is no claim, or the outcome is already final.
     NotApplicable,
 }
 
-/// What is kept of a claim in effect.
+/// The claim that is in effect for a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ActiveClaim {
-    /// The caller's number of the attempt.
+    /// Number of the attempt, counted by the caller from 1.
     pub attempt: Attempt,
-    /// Run of the process that holds it.
+    /// Incarnation of the process that holds the claim.
     pub holder: Incarnation,
     /// Id of the request.
     pub request_id: RequestId,
@@ -95,7 +95,7 @@
     pub class: ClassId,
     /// Endpoint that the holder sends to.
     pub endpoint: EndpointId,
-    /// Digest of the request's body; none where the record's could not be read.
+    /// Digest of the request's body; `None` if the record's digest can't be parsed.
     pub body: Option<Digest>,
     /// When the claim was made.
     pub at: SystemTime,
@@ -115,25 +115,25 @@
     }
 }
 
-/// All that is known of one key.
+/// State of one key in the ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyState {
-    /// Attempts up to this one never run.
+    /// Last voided attempt; it and the attempts before it never run.
     pub voided_up_to: Attempt,
     /// The claim in effect.
     pub claim: Option<ActiveClaim>,
-    /// The outcome, once it is settled.
+    /// The outcome, once the claim is settled.
     pub outcome: Option<Outcome>,
 }
 
 impl KeyState {
     /// Applies a claim.
     pub fn claim(&mut self, claim: &Claim) -> ApplyResult {
-        if let Some(held) = &self.claim {
-            if held.body != parse_digest(&claim.body_sha256) {
+        if let Some(active) = &self.claim {
+            if active.body != parse_digest(&claim.body_sha256) {
                 return ApplyResult::BodyMismatch;
             }
-            return ApplyResult::AlreadyClaimed { holder: held.holder, request_id: held.request_id.clone() };
+            return ApplyResult::AlreadyClaimed { holder: active.holder, request_id: active.request_id.clone() };
         }
         if claim.attempt <= self.voided_up_to {
             return ApplyResult::AlreadyVoided { up_to: self.voided_up_to };
@@ -142,39 +142,39 @@
         ApplyResult::Applied
     }
 
-    /// Applies a refusal: attempts up to this one never run.
+    /// Voids the attempts up to `up_to`, which then never run.
     ///
-    /// A claim in effect wins over it, unless its own holder, who knows that it has not sent and never
-    /// will, gives the refusal.
+    /// A claim in effect takes precedence, unless its is_own holder voids it. The holder knows that it has not
+    /// sent the request and never will.
     pub fn void(&mut self, up_to: Attempt, holder: Incarnation, request_id: &str) -> ApplyResult {
-        if let Some(held) = &self.claim {
-            let own = held.holder == holder && held.request_id == request_id && self.outcome.is_none();
-            if !own {
-                return ApplyResult::AlreadyClaimed { holder: held.holder, request_id: held.request_id.clone() };
+        if let Some(active) = &self.claim {
+            let is_own = active.holder == holder && active.request_id == request_id && self.outcome.is_none();
+            if !is_own {
+                return ApplyResult::AlreadyClaimed { holder: active.holder, request_id: active.request_id.clone() };
             }
-            self.voided_up_to = self.voided_up_to.max(held.attempt);
+            self.voided_up_to = self.voided_up_to.max(active.attempt);
             self.claim = None;
         }
         self.voided_up_to = self.voided_up_to.max(up_to);
         ApplyResult::Applied
     }
 
-    /// Applies the outcome of the claim in effect.
+    /// Settles the claim in effect with its outcome.
     ///
-    /// The first outcome stands, but an answer goes over "may have run", since it tells more.
+    /// The first outcome is final, except that an answer replaces [`Outcome::MayHaveRun`].
     pub fn settle(&mut self, request_id: &str, outcome: &Outcome) -> ApplyResult {
-        let Some(held) = &self.claim else {
+        let Some(active) = &self.claim else {
             return ApplyResult::NotApplicable;
         };
-        if held.request_id != request_id {
-            return ApplyResult::AlreadyClaimed { holder: held.holder, request_id: held.request_id.clone() };
+        if active.request_id != request_id {
+            return ApplyResult::AlreadyClaimed { holder: active.holder, request_id: active.request_id.clone() };
         }
-        let tells_more = match self.outcome {
+        let supersedes = match self.outcome {
             None => true,
             Some(Outcome::MayHaveRun) => *outcome != Outcome::MayHaveRun,
             Some(Outcome::Answered { .. }) => false,
         };
-        if !tells_more {
+        if !supersedes {
             return ApplyResult::NotApplicable;
         }
         self.outcome = Some(outcome.clone());
@@ -182,7 +182,7 @@
     }
 }
 
-/// The digest of a request's body as a claim carries it.
+/// Encodes the digest of a request's body for [`Claim::body_sha256`].
 pub fn encode_body_digest(digest: &Digest) -> String {
     hex::encode(digest)
 }
--- a/havengrade_core/src/cost.rs
+++ b/havengrade_core/src/cost.rs
@@ -1,9 +1,9 @@
-//! What a request costs.
+//! Cost of requests.
 
 use crate::{config::ModelVersion, ids::Micros};
 
-/// Tokens that a price is for.
-const PRICED_TOKENS: u64 = 1000;
+/// Number of tokens that prices are quoted for.
+const TOKENS_PER_PRICE_UNIT: u64 = 1000;
 
 /// Tokens that a request used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -15,7 +15,7 @@
 }
 
 impl TokenUsage {
-    /// The cost on a version, rounded up to whole millionths.
+    /// Returns the cost of these tokens on a model version, rounded up to whole millionths.
     ///
     /// ```
     /// use havengrade_core::{config::{ModelVersion, VersionState}, cost::TokenUsage};
@@ -29,10 +29,10 @@
     pub fn cost(&self, version: &ModelVersion) -> Micros {
         let input = self.input_tokens.saturating_mul(version.input_cost_micros);
         let output = self.output_tokens.saturating_mul(version.output_cost_micros);
-        input.saturating_add(output).div_ceil(PRICED_TOKENS)
+        input.saturating_add(output).div_ceil(TOKENS_PER_PRICE_UNIT)
     }
 
-    /// Both uses together.
+    /// Returns the sum of both usages.
     pub fn plus(&self, other: &Self) -> Self {
         Self {
             input_tokens: self.input_tokens + other.input_tokens,
--- a/havengrade_core/src/drain.rs
+++ b/havengrade_core/src/drain.rs
@@ -1,35 +1,37 @@
-//! A planned stop: what a VM still does while it leaves.
+//! Graceful shutdown of a VM.
 
 use std::time::{Duration, SystemTime};
 
-/// How far a planned stop has come.
+/// State of a VM with regard to a graceful shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DrainState {
-    /// The VM serves.
+    /// The VM accepts requests.
     #[default]
     Serving,
-    /// The VM finishes what is in progress and refuses the rest.
+    /// The VM finishes requests in progress and refuses new ones.
     Draining {
-        /// When it began.
+        /// Start of the shutdown.
         since: SystemTime,
     },
 }
 
-/// What to do next.
+/// Next step of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainStep {
-    /// Serve on.
+    /// Keep accepting requests.
     Serve,
-    /// Wait for what is in progress.
+    /// Wait for requests in progress.
     Wait,
-    /// Nothing is left; stop.
+    /// Stop, since no work is left.
     Stop,
-    /// The limit is over; stop although requests are in progress.
+    /// Stop at the time limit although work is unfinished.
     StopAtDeadline,
 }
 
 impl DrainState {
-    /// What to do with this many requests in progress and bills not yet in the log.
+    /// Returns the next step.
+    ///
+    /// `unfinished` is the number of requests in progress and of bills that aren't in the log yet.
     ///
     /// ```
     /// use std::time::{Duration, SystemTime};
--- a/havengrade_core/src/endpoint_selection.rs
+++ b/havengrade_core/src/endpoint_selection.rs
@@ -1,4 +1,4 @@
-//! Choice of an endpoint among those that can serve a request.
+//! Endpoint selection: sampled least-load balancing and rendezvous hashing.
 
 use std::time::{Duration, SystemTime};
 
@@ -10,70 +10,70 @@
     secret::uniform_hash,
 };
 
-/// Endpoints that are looked at for one choice.
+/// Number of endpoints that are sampled for one selection.
 pub const SAMPLE_SIZE: usize = 3;
-/// Load that another failure domain adds to an endpoint, in thousandths of its capacity.
-const DISTANCE: u64 = 50;
+/// Load added to an endpoint in another failure domain, in thousandths of its capacity.
+const REMOTE_DOMAIN_PENALTY: u64 = 50;
 /// Thousandths in a whole.
-const WHOLE: u64 = 1000;
+const PERMILLE_SCALE: u64 = 1000;
 
-/// What is known of an endpoint's state.
+/// Known state of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointState {
-    /// Requests that this VM has in progress there.
+    /// Requests of this VM that are in progress at the endpoint.
     pub in_flight: u32,
-    /// Requests that the endpoint reported, ours included, with a lag.
+    /// Requests in the endpoint's last report, which lags and includes those of this VM.
     pub reported: u32,
-    /// Requests of ours among the reported ones.
+    /// Requests of this VM among the reported ones.
     pub own_in_report: u32,
-    /// Whether the endpoint leaves, or has fallen silent.
+    /// Whether the endpoint is shutting down or has stopped reporting.
     pub unavailable: bool,
-    /// Until when the endpoint is passed over after failures.
+    /// End of the endpoint's ejection after failures.
     pub ejected_until: Option<SystemTime>,
-    /// Until when the endpoint asked for rest.
+    /// End of the backoff that the endpoint requested.
     pub backoff_until: Option<SystemTime>,
-    /// Whether the last that it did with a request was to turn it away.
+    /// Whether the endpoint rejected the last request that it responded to.
     pub last_rejected: bool,
 }
 
 impl EndpointState {
-    /// Requests that are likely to be there now: the report, corrected by what we did since.
+    /// Estimates the current number of requests: the reported one, corrected by this VM's changes since.
     pub fn load(&self) -> u32 {
         (self.reported + self.in_flight).saturating_sub(self.own_in_report)
     }
 
-    /// Whether it may receive new work.
+    /// Returns whether the endpoint may receive new requests.
     pub fn is_usable(&self, now: SystemTime) -> bool {
         !self.unavailable && self.ejected_until.is_none_or(|until| until <= now) && self.backoff_left(now).is_none()
     }
 
-    /// Time for which it wants rest.
+    /// Returns the rest of the backoff that the endpoint requested, if any.
     pub fn backoff_left(&self, now: SystemTime) -> Option<Duration> {
         let left = self.backoff_until?.duration_since(now).ok()?;
         (!left.is_zero()).then_some(left)
     }
 }
 
-/// Where the states of endpoints are looked up.
+/// Source of endpoint states.
 pub trait EndpointStates {
-    /// The state of an endpoint.
+    /// Returns the state of an endpoint.
     fn state(&self, endpoint: &str) -> EndpointState;
 }
 
-/// What a choice is made for.
+/// Parameters of a selection, beside the candidates.
 #[derive(Clone, Copy, Debug)]
 pub struct SelectionContext<'a> {
-    /// Failure domain of the VM that chooses.
+    /// Failure domain of this VM.
     pub failure_domain: &'a str,
-    /// Endpoints that were tried already.
+    /// Endpoints that have already been tried.
     pub tried: &'a [EndpointId],
-    /// The present time.
+    /// Current time.
     pub now: SystemTime,
 }
 
-/// Chooses an endpoint: the least loaded of a few that are drawn at random.
+/// Chooses the least loaded of a few randomly sampled endpoints.
 ///
-/// Where none of the drawn ones is usable, all are looked at.
+/// If none of the sampled endpoints is usable, all candidates are considered.
 pub fn choose<'a>(
     catalog: &'a Catalog,
     candidates: &'a [EndpointId],
@@ -81,21 +81,24 @@
     context: SelectionContext<'_>,
     rng: &mut dyn Rng,
 ) -> Option<&'a Endpoint> {
-    let drawn = draw(candidates, rng);
-    let best = least_loaded(catalog, drawn.iter().flatten().copied(), states, context);
+    let sampled = sample(candidates, rng);
+    let best = least_loaded(catalog, sampled.iter().flatten().copied(), states, context);
     best.or_else(|| least_loaded(catalog, candidates.iter(), states, context))
 }
 
-/// Time until the first of the endpoints no longer wants rest; none where one of them wants none, or all are gone.
+/// Returns the time until the first backoff ends among the endpoints.
+///
+/// Returns `None` if one of the endpoints requests no backoff, or if all are unavailable.
 pub fn backoff_left(candidates: &[EndpointId], states: &dyn EndpointStates, now: SystemTime) -> Option<Duration> {
-    let present = candidates.iter().map(|id| states.state(id)).filter(|state| !state.unavailable);
-    let left: Option<Vec<Duration>> = present.map(|state| state.backoff_left(now)).collect();
+    let available = candidates.iter().map(|id| states.state(id)).filter(|state| !state.unavailable);
+    let left: Option<Vec<Duration>> = available.map(|state| state.backoff_left(now)).collect();
     left?.into_iter().min()
 }
 
-/// The endpoint at which a key belongs, among those that recognise keys: the same on every VM.
+/// Returns the endpoint for an idempotency key, among those that deduplicate requests by key.
 ///
-/// An endpoint that is added or removed moves only the keys that come to it or were there.
+/// Rendezvous hashing: the endpoint is the same on every VM, and adding or removing one moves only the
+/// keys that belong to it.
 pub fn endpoint_for_key<'a>(catalog: &'a Catalog, candidates: &[EndpointId], key: &str) -> Option<&'a Endpoint> {
     candidates
         .iter()
@@ -104,15 +107,15 @@
         .max_by_key(|endpoint| uniform_hash(&[key, &endpoint.id]))
 }
 
-fn draw<'a>(candidates: &'a [EndpointId], rng: &mut dyn Rng) -> [Option<&'a EndpointId>; SAMPLE_SIZE] {
-    let mut drawn = [None; SAMPLE_SIZE];
+fn sample<'a>(candidates: &'a [EndpointId], rng: &mut dyn Rng) -> [Option<&'a EndpointId>; SAMPLE_SIZE] {
+    let mut sampled = [None; SAMPLE_SIZE];
     if candidates.is_empty() {
-        return drawn;
+        return sampled;
     }
-    for slot in &mut drawn {
+    for slot in &mut sampled {
         *slot = candidates.get(rng.random_range(0..candidates.len()));
     }
-    drawn
+    sampled
 }
 
 fn least_loaded<'a>(
@@ -126,13 +129,13 @@
         .filter_map(|id| catalog.config.endpoints.get(id))
         .map(|endpoint| (endpoint, states.state(&endpoint.id)))
         .filter(|(_, state)| state.is_usable(context.now))
-        .min_by_key(|(endpoint, state)| weight(endpoint, state, context.failure_domain))
+        .min_by_key(|(endpoint, state)| weighted_load(endpoint, state, context.failure_domain))
         .map(|(endpoint, _)| endpoint)
 }
 
-/// Load in thousandths of the capacity, with a little for the distance.
-fn weight(endpoint: &Endpoint, state: &EndpointState, failure_domain: &str) -> u64 {
-    let load = u64::from(state.load()) * WHOLE / u64::from(endpoint.capacity.max(1));
-    let is_far = endpoint.failure_domain != failure_domain;
-    load + if is_far { DISTANCE } else { 0 }
+/// Returns the load in thousandths of the capacity, plus the penalty for another failure domain.
+fn weighted_load(endpoint: &Endpoint, state: &EndpointState, failure_domain: &str) -> u64 {
+    let load = u64::from(state.load()) * PERMILLE_SCALE / u64::from(endpoint.capacity.max(1));
+    let is_remote = endpoint.failure_domain != failure_domain;
+    load + if is_remote { REMOTE_DOMAIN_PENALTY } else { 0 }
 }
--- a/havengrade_core/src/evidence.rs
+++ b/havengrade_core/src/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence of how well versions answer: counters that only grow, merged over VMs.
+//! Evidence of answer quality per model version: monotonic counters that are merged over all VMs.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -6,23 +6,23 @@
 
 use crate::ids::{ClassId, Incarnation, Permille, RolloutId, VersionId};
 
-/// What is counted for a version in a request class.
+/// Counters for a version in a request class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Answers that were rated.
+    /// Rated answers.
     pub rated: u64,
     /// Sum of the ratings, in thousandths.
     pub score: u64,
     /// Rated answers that reached the quality target of their class.
     pub passed: u64,
-    /// Requests that ended.
+    /// Finished requests.
     pub ended: u64,
-    /// Requests that ended in an error of the version or its endpoint.
+    /// Requests that failed because of the version or its endpoint.
     pub failed: u64,
 }
 
 impl Tally {
-    /// Both tallies together.
+    /// Returns the sum of both tallies.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         Self {
@@ -34,12 +34,12 @@
         }
     }
 
-    /// The share of answers that reach the quality target, once a prior of some weight is mixed in.
+    /// Returns the share of rated answers that reach the quality target, smoothed by a weighted prior.
     pub fn pass_rate(&self, prior: f64, prior_weight: f64) -> f64 {
         (self.passed as f64 + prior * prior_weight) / (self.rated as f64 + prior_weight).max(f64::MIN_POSITIVE)
     }
 
-    /// The mean rating once a prior of some weight is mixed in.
+    /// Returns the mean rating, smoothed by a weighted prior.
     ///
     /// ```
     /// use havengrade_core::evidence::Tally;
@@ -57,45 +57,45 @@
     }
 }
 
-/// Which answers a tally is about.
+/// Key of a tally.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TallyKey {
-    /// The request class.
+    /// Request class.
     pub class: ClassId,
-    /// The version.
+    /// Model version.
     pub version: VersionId,
 }
 
-/// Tallies summed over all writers.
+/// Tallies summed over all writers, that is, over all process incarnations.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EvidenceTotals {
-    /// Roll-outs that the evidence speaks against; they are halted here before the log says so.
+    /// Roll-outs that the evidence halts; this VM applies the halt before the log contains it.
     pub halted_rollouts: BTreeSet<RolloutId>,
     by_class: HashMap<ClassId, HashMap<VersionId, Tally>>,
 }
 
 impl EvidenceTotals {
-    /// The tally of a version in a class.
+    /// Returns the tally of a version in a class.
     pub fn get(&self, class: &str, version: &str) -> Tally {
         self.by_class.get(class).and_then(|versions| versions.get(version)).copied().unwrap_or_default()
     }
 
-    /// Sets the tally of a subject.
-    pub fn set(&mut self, subject: &TallyKey, tally: Tally) {
-        self.by_class.entry(subject.class.clone()).or_default().insert(subject.version.clone(), tally);
+    /// Sets a tally.
+    pub fn set(&mut self, key: &TallyKey, tally: Tally) {
+        self.by_class.entry(key.class.clone()).or_default().insert(key.version.clone(), tally);
     }
 }
 
-/// The tallies of all VMs that have been heard from.
+/// Tallies that were received from all VMs.
 ///
 /// ```
 /// use havengrade_core::evidence::{Evidence, TallyKey, Tally};
 ///
-/// let subject = TallyKey { class: "tag".into(), version: "swift@1".into() };
+/// let key = TallyKey { class: "tag".into(), version: "swift@1".into() };
 /// let mut evidence = Evidence::default();
-/// evidence.record(&subject, 1, Tally { ended: 2, ..Tally::default() });
-/// evidence.merge(&subject, 2, Tally { ended: 3, ..Tally::default() });
-/// evidence.merge(&subject, 2, Tally { ended: 1, ..Tally::default() });
+/// evidence.record(&key, 1, Tally { ended: 2, ..Tally::default() });
+/// evidence.merge(&key, 2, Tally { ended: 3, ..Tally::default() });
+/// evidence.merge(&key, 2, Tally { ended: 1, ..Tally::default() });
 /// assert_eq!(evidence.totals().get("tag", "swift@1").ended, 5);
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -105,42 +105,42 @@
 }
 
 impl Evidence {
-    /// Takes a writer's tally; an older one than is known has no effect.
-    pub fn merge(&mut self, subject: &TallyKey, writer: Incarnation, tally: Tally) {
-        let writers = self.by_writer.entry(subject.clone()).or_default();
+    /// Merges a writer's tally; a tally older than the known one has no effect.
+    pub fn merge(&mut self, key: &TallyKey, writer: Incarnation, tally: Tally) {
+        let writers = self.by_writer.entry(key.clone()).or_default();
         let known = writers.entry(writer).or_default();
         if tally.ended + tally.rated <= known.ended + known.rated {
             return;
         }
         *known = tally;
         let total = writers.values().fold(Tally::default(), |sum, tally| sum.plus(tally));
-        self.totals.set(subject, total);
+        self.totals.set(key, total);
     }
 
-    /// Adds to a writer's own tally.
-    pub fn record(&mut self, subject: &TallyKey, writer: Incarnation, more: Tally) {
-        let known = self.writer_tally(subject, writer);
-        self.merge(subject, writer, known.plus(&more));
+    /// Adds counts to a writer's tally.
+    pub fn record(&mut self, key: &TallyKey, writer: Incarnation, added: Tally) {
+        let known = self.writer_tally(key, writer);
+        self.merge(key, writer, known.plus(&added));
     }
 
-    /// A writer's own tally.
-    pub fn writer_tally(&self, subject: &TallyKey, writer: Incarnation) -> Tally {
-        let writers = self.by_writer.get(subject);
+    /// Returns a writer's tally.
+    pub fn writer_tally(&self, key: &TallyKey, writer: Incarnation) -> Tally {
+        let writers = self.by_writer.get(key);
         writers.and_then(|writers| writers.get(&writer)).copied().unwrap_or_default()
     }
 
-    /// What there are tallies of.
+    /// Returns the keys of all tallies.
     pub fn keys(&self) -> impl Iterator<Item = &TallyKey> {
         self.by_writer.keys()
     }
 
-    /// How many writers' tallies are known.
+    /// Returns the number of processes whose tallies are known.
     pub fn writer_count(&self) -> usize {
         let writers: BTreeSet<&Incarnation> = self.by_writer.values().flat_map(HashMap::keys).collect();
         writers.len()
     }
 
-    /// The sums over all writers.
+    /// Returns the tallies summed over all writers.
     pub fn totals(&self) -> &EvidenceTotals {
         &self.totals
     }
--- a/havengrade_core/src/ids.rs
+++ b/havengrade_core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Type aliases for the ids that travel between modules.
+//! Type aliases for ids and units that several modules share.
 
 /// Name of a client account.
 pub type AccountId = String;
@@ -8,7 +8,7 @@
 pub type VersionId = String;
 /// Name of an endpoint.
 pub type EndpointId = String;
-/// Name of a plain service that stands beside the model engines.
+/// Name of a plain service, which isn't a model engine.
 pub type ServiceId = String;
 /// Name of a request class.
 pub type ClassId = String;
@@ -16,23 +16,23 @@
 pub type CascadeId = String;
 /// Name of a roll-out.
 pub type RolloutId = String;
-/// Name of a VM of our own.
+/// Name of a VM of this deployment.
 pub type VmId = String;
 /// Name of a failure domain.
 pub type DomainId = String;
-/// Id that an operator's change keeps over all its retries.
+/// Id of an operator's change, the same for all its retries.
 pub type ChangeId = String;
-/// Id of one request, given by the VM that received it.
+/// Id of a request, assigned by the VM that received it.
 pub type RequestId = String;
-/// Id of a session, given by the caller or by the VM that opened it.
+/// Id of a session, assigned by the caller or by the VM that opened it.
 pub type SessionId = String;
-/// Position of a record in a stream of the log service.
+/// Offset of a record in a stream of the log service.
 pub type Offset = u64;
-/// One run of a process on a VM; a restarted process has another.
+/// Incarnation of a process on a VM; each restart has a new one.
 pub type Incarnation = u64;
-/// The number of an attempt at one request, counted by its caller from 1.
+/// Number of an attempt at a request, counted by the caller from 1.
 pub type Attempt = u32;
-/// Money in millionths of the deployment's currency.
+/// Amount of money in millionths of the deployment's currency.
 pub type Micros = u64;
-/// A share or a score in thousandths.
+/// Share or score in thousandths.
 pub type Permille = u32;
--- a/havengrade_core/src/ledger.rs
+++ b/havengrade_core/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: claims, refusals and outcomes with their bills, replayed in offset order.
+//! Ledger of claims, voided attempts and outcomes with their bills, replayed in offset order.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -15,26 +15,26 @@
     ids::{Attempt, Incarnation, Offset, RequestId},
 };
 
-/// A record of the ledger or of the stream of bills.
+/// Record of the ledger or of the stream of bills.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "record")]
 pub enum LedgerRecord {
-    /// A VM wants to run a request.
+    /// A VM claims a key in order to run a request.
     Claim(Claim),
-    /// A VM tells a caller "not run".
+    /// A VM voids attempts before it answers the caller that the request was not run.
     Void {
-        /// What is refused.
+        /// Key of the refused request.
         key: ClaimKey,
         /// Attempts up to this one never run.
         up_to: Attempt,
-        /// Run of the process that refuses.
+        /// Incarnation of the process that refuses the request.
         holder: Incarnation,
-        /// Id of the request that is refused.
+        /// Id of the refused request.
         request_id: RequestId,
     },
-    /// The outcome of a claimed request, with its bill if something is owed.
+    /// Outcome of a claimed request, with its bill if there is a charge.
     Settle {
-        /// What is settled.
+        /// Key of the settled claim.
         key: ClaimKey,
         /// Id of the request.
         request_id: RequestId,
@@ -43,21 +43,21 @@
         /// The bill.
         bill: Option<Bill>,
     },
-    /// A request that ran without a claim in the log, at an endpoint that recognises its key itself.
+    /// Request that ran without a claim in the log, at an endpoint that deduplicates by key.
     Ran {
-        /// The claim that would have been made.
+        /// The claim that would have been appended.
         claim: Claim,
         /// The outcome.
         outcome: Outcome,
         /// The bill.
         bill: Bill,
     },
-    /// The bill of a request without a claim; it stands in the stream of bills, which VMs don't read.
+    /// Bill of a request without a claim, stored in the stream of bills, which VMs don't read.
     Bill(Bill),
 }
 
 impl LedgerRecord {
-    /// The request that the record is about.
+    /// Returns the id of the request that the record refers to.
     pub fn request_id(&self) -> Option<&RequestId> {
         match self {
             Self::Claim(claim) | Self::Ran { claim, .. } => Some(&claim.request_id),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The bill that the record carries.
+    /// Returns the bill in the record, if any.
     pub fn bill(&self) -> Option<&Bill> {
         match self {
             Self::Claim(_) | Self::Void { .. } => None,
@@ -75,7 +75,9 @@
         }
     }
 
-    /// The settlement of a claim whose holder is gone: it may have run, and owes nothing that is known.
+    /// Settles a claim whose holder is gone.
+    ///
+    /// The request may have run, and its cost is unknown, so its bill is zero.
     pub fn settle_abandoned(key: &ClaimKey, claim: &ActiveClaim, now: SystemTime) -> Self {
         let bill = Bill {
             request_id: claim.request_id.clone(),
@@ -97,45 +99,45 @@
     }
 }
 
-/// Records that one process appended together.
+/// Records that a process appended together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Run of the process.
+    /// Incarnation of the process.
     pub writer: Incarnation,
-    /// Number of the batch, rising within a run.
+    /// Sequence number of the batch, which increases within an incarnation.
     pub seq: u64,
-    /// When the batch was appended.
+    /// Time at which the batch was appended.
     pub at: SystemTime,
     /// The records.
     pub records: Vec<LedgerRecord>,
 }
 
-/// What is known of a key, and when that last changed.
+/// State of a key and the time of its last change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Entry {
     state: KeyState,
-    changed: SystemTime,
+    changed_at: SystemTime,
 }
 
-/// All that the ledger says, up to an offset.
+/// State of the ledger up to an offset.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ledger {
-    /// Offset after the last batch that was replayed.
+    /// Offset after the last replayed batch.
     pub next_offset: Offset,
-    /// The newest time in any batch.
+    /// Newest time of all batches.
     pub newest_at: Option<SystemTime>,
     keys: HashMap<Arc<ClaimKey>, Entry>,
-    requests: HashMap<RequestId, Arc<ClaimKey>>,
-    /// Keys by when they were first seen, or found to have changed since.
-    ages: VecDeque<(SystemTime, Arc<ClaimKey>)>,
+    keys_by_request: HashMap<RequestId, Arc<ClaimKey>>,
+    /// Queue for eviction: keys with the time of their first record or, once requeued, of their last change.
+    eviction_queue: VecDeque<(SystemTime, Arc<ClaimKey>)>,
     last_seq: HashMap<Incarnation, u64>,
 }
 
 impl Ledger {
-    /// Replays the batch at an offset and tells how each of its records fared.
+    /// Replays the batch at an offset and returns the result for each of its records.
     ///
-    /// A batch that stands twice, or that its writer had given up before it wrote a later one, has no
-    /// effect: `None`.
+    /// Returns `None` for a batch without effect: one that occurs twice, or that was appended after a later
+    /// batch of the same writer, which had given it up.
     pub fn replay(&mut self, offset: Offset, batch: &Batch) -> Option<Vec<ApplyResult>> {
         if offset < self.next_offset {
             return None;
@@ -153,11 +155,11 @@
     fn apply(&mut self, record: &LedgerRecord, at: SystemTime) -> ApplyResult {
         match record {
             LedgerRecord::Claim(claim) => {
-                let verdict = self.entry(&claim.key, at).claim(claim);
-                if verdict == ApplyResult::Applied {
+                let result = self.entry(&claim.key, at).claim(claim);
+                if result == ApplyResult::Applied {
                     self.record_request(claim);
                 }
-                verdict
+                result
             },
             LedgerRecord::Void { key, up_to, holder, request_id } => {
                 self.entry(key, at).void(*up_to, *holder, request_id)
@@ -170,89 +172,90 @@
 
     fn apply_ran(&mut self, claim: &Claim, outcome: &Outcome, at: SystemTime) -> ApplyResult {
         let state = self.entry(&claim.key, at);
-        // It is a fact that it ran, so a refusal that stands before it has no say; another claim has.
-        let held = state.claim.get_or_insert_with(|| ActiveClaim::from(claim));
-        if held.request_id != claim.request_id {
-            let verdict = ApplyResult::AlreadyClaimed { holder: held.holder, request_id: held.request_id.clone() };
-            let first = held.request_id.clone();
-            // The endpoint knows the key, so its answer is the one that the first request lost.
+        // The request did run, so an earlier void can't prevent it. An earlier claim takes precedence.
+        let active = state.claim.get_or_insert_with(|| ActiveClaim::from(claim));
+        if active.request_id != claim.request_id {
+            let result = ApplyResult::AlreadyClaimed { holder: active.holder, request_id: active.request_id.clone() };
+            let first = active.request_id.clone();
+            // The endpoint deduplicates by key, so this is also the answer that the first request lost.
             state.settle(&first, outcome);
-            return verdict;
+            return result;
         }
-        let verdict = state.settle(&claim.request_id, outcome);
+        let result = state.settle(&claim.request_id, outcome);
         self.record_request(claim);
-        verdict
+        result
     }
 
     fn record_request(&mut self, claim: &Claim) {
         if let Some((key, _)) = self.keys.get_key_value(&claim.key) {
-            self.requests.insert(claim.request_id.clone(), key.clone());
+            self.keys_by_request.insert(claim.request_id.clone(), key.clone());
         }
     }
 
-    /// The state of a key that a record is about.
+    /// Returns the state of a record's key and updates the time of its last change.
     fn entry(&mut self, key: &ClaimKey, at: SystemTime) -> &mut KeyState {
         if !self.keys.contains_key(key) {
             let key = Arc::new(key.clone());
-            self.ages.push_back((at, key.clone()));
-            self.keys.insert(key, Entry { state: KeyState::default(), changed: at });
+            self.eviction_queue.push_back((at, key.clone()));
+            self.keys.insert(key, Entry { state: KeyState::default(), changed_at: at });
         }
-        let entry = self.keys.get_mut(key).unwrap_or_else(|| unreachable!("it was just put there"));
-        entry.changed = entry.changed.max(at);
+        let entry = self.keys.get_mut(key).unwrap_or_else(|| unreachable!("it was just inserted"));
+        entry.changed_at = entry.changed_at.max(at);
         &mut entry.state
     }
 
-    /// What is known of a key.
+    /// Returns the state of a key.
     pub fn key_state(&self, key: &ClaimKey) -> Option<&KeyState> {
         self.keys.get(key).map(|entry| &entry.state)
     }
 
-    /// The key that a request holds, and what is known of it.
+    /// Returns the key that a request is_holder a claim on, and the key's state.
     pub fn claimed_request(&self, request_id: &str) -> Option<(&ClaimKey, &KeyState)> {
-        let key = self.requests.get(request_id)?;
+        let key = self.keys_by_request.get(request_id)?;
         let state = self.key_state(key)?;
-        let holds = state.claim.as_ref().is_some_and(|claim| claim.request_id == request_id);
-        holds.then_some((key, state))
+        let is_holder = state.claim.as_ref().is_some_and(|claim| claim.request_id == request_id);
+        is_holder.then_some((key, state))
     }
 
-    /// Claims in effect that have no outcome yet.
+    /// Returns the claims in effect that have no outcome yet.
     pub fn unsettled_claims(&self) -> impl Iterator<Item = (&ClaimKey, &ActiveClaim)> {
         self.keys.iter().filter_map(|(key, entry)| {
-            let held = entry.state.claim.as_ref()?;
-            entry.state.outcome.is_none().then_some((&**key, held))
+            let active = entry.state.claim.as_ref()?;
+            entry.state.outcome.is_none().then_some((&**key, active))
         })
     }
 
-    /// Number of keys that are remembered.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether no key is remembered.
+    /// Returns whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Forgets what has not changed within the horizon, counted from the newest time in the stream.
+    /// Evicts keys that haven't changed within `horizon`, counted from the newest time in the stream.
     ///
-    /// Unsettled claims are kept, and what is younger than them: to forget one would let its key run again.
-    pub fn evict_settled(&mut self, horizon: Duration) {
+    /// Unsettled claims are kept, as are the keys behind them in the queue: evicting an unsettled claim would
+    /// let its key run again.
+    pub fn evict_expired(&mut self, horizon: Duration) {
         let Some(cutoff) = self.newest_at.and_then(|newest| newest.checked_sub(horizon)) else {
             return;
         };
-        while self.ages.front().is_some_and(|(at, _)| *at < cutoff) {
-            let Some((_, key)) = self.ages.pop_front() else { return };
+        while self.eviction_queue.front().is_some_and(|(at, _)| *at < cutoff) {
+            let Some((_, key)) = self.eviction_queue.pop_front() else { return };
             let Some(entry) = self.keys.get(&key) else { continue };
-            if entry.changed >= cutoff {
-                self.ages.push_back((entry.changed, key));
+            if entry.changed_at >= cutoff {
+                self.eviction_queue.push_back((entry.changed_at, key));
                 continue;
             }
             if entry.state.claim.is_some() && entry.state.outcome.is_none() {
-                self.ages.push_front((entry.changed, key));
+                self.eviction_queue.push_front((entry.changed_at, key));
                 return;
             }
-            if let Some(held) = &entry.state.claim {
-                self.requests.remove(&held.request_id);
+            if let Some(active) = &entry.state.claim {
+                self.keys_by_request.remove(&active.request_id);
             }
             self.keys.remove(&key);
         }
--- a/havengrade_core/src/lib.rs
+++ b/havengrade_core/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of havengrade: pure functions and state machines without input or output.
+//! Core logic of havengrade: pure functions and state machines that perform no I/O.
 //!
-//! Every function that decides takes the present time as an argument, and every agreed state is a
-//! pure function of records in the offset order of the platform's log service.
+//! Functions that depend on time take the current time as an argument. Every state that the VMs agree
+//! on is a pure function of the records in the platform's log service, applied in offset order.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 #![cfg_attr(test, allow(clippy::unwrap_used))]
--- a/havengrade_core/src/membership.rs
+++ b/havengrade_core/src/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: which VMs live, from the lagging VM list and from heartbeats.
+//! Membership: which VMs are live, from the platform's VM list, which lags, and from heartbeats.
 
 use std::{
     collections::BTreeMap,
@@ -10,53 +10,54 @@
 
 use crate::ids::{DomainId, Incarnation, Offset, VmId};
 
-/// A VM as the platform's list shows it.
+/// A VM in the platform's VM list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
     /// Name of the VM.
     pub id: VmId,
-    /// IP number and port for peers.
+    /// IP address and port for peers.
     pub peer_address: SocketAddr,
     /// Failure domain of the VM.
     pub failure_domain: DomainId,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove the VM.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// What a VM says of itself with each heartbeat.
+/// Heartbeat of a VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
     /// Name of the VM.
     pub vm: VmId,
-    /// Run of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Number of the heartbeat within the run.
+    /// Sequence number of the heartbeat within the incarnation.
     pub seq: u64,
-    /// Offset up to which it has replayed the configuration.
+    /// Offset after the last configuration record that the VM has replayed.
     pub config_next: Offset,
-    /// Revision that it has in force.
+    /// Revision of its active configuration.
     pub revision: Option<Offset>,
-    /// How long ago it last knew that there is nothing newer.
+    /// Time since it last confirmed that there is no newer configuration.
     pub staleness: Duration,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub ready: bool,
-    /// Whether it is leaving.
+    /// Whether it is shutting down.
     pub draining: bool,
-    /// Requests that it has in progress.
+    /// Number of requests in progress.
     pub in_progress: u32,
 }
 
-/// A VM and the last heartbeat received from it.
+/// A listed VM and its last heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The VM as listed.
+    /// Entry of the VM list.
     pub listed: ListedVm,
-    /// Its last heartbeat.
+    /// Last heartbeat of the VM.
     pub heartbeat: Option<Heartbeat>,
-    /// When that was received.
+    /// Time at which that heartbeat was received.
     pub last_received: Option<SystemTime>,
-    /// When we asked for the last heartbeat that it answered; what it knew then it knew no earlier.
+    /// Time at which the latest answered heartbeat request was sent, the earliest time that the answer's
+    /// content can be from.
     pub last_requested: Option<SystemTime>,
 }
 
@@ -67,7 +68,7 @@
 }
 
 impl Membership {
-    /// Takes over the platform's list.
+    /// Replaces the VM list by a new one from the platform; heartbeats of VMs on both lists are kept.
     pub fn replace_listed(&mut self, vms: Vec<ListedVm>) {
         let mut old = std::mem::take(&mut self.members);
         for listed in vms {
@@ -80,40 +81,40 @@
         }
     }
 
-    /// Takes a heartbeat; one that is older than the last of the same run is passed over.
+    /// Records a heartbeat, unless it is older than the last one of the same incarnation.
     ///
-    /// `asked` is when it was asked for, or none where it came unasked.
-    pub fn record_heartbeat(&mut self, heartbeat: Heartbeat, now: SystemTime, asked: Option<SystemTime>) {
+    /// `requested` is the time at which it was requested, or `None` if it was sent without a request.
+    pub fn record_heartbeat(&mut self, heartbeat: Heartbeat, now: SystemTime, requested: Option<SystemTime>) {
         let Some(member) = self.members.get_mut(&heartbeat.vm) else {
             return;
         };
-        let is_old = member
+        let is_outdated = member
             .heartbeat
             .as_ref()
             .is_some_and(|last| last.incarnation == heartbeat.incarnation && last.seq > heartbeat.seq);
-        if is_old {
+        if is_outdated {
             return;
         }
         member.heartbeat = Some(heartbeat);
         member.last_received = Some(now);
-        member.last_requested = member.last_requested.max(asked);
+        member.last_requested = member.last_requested.max(requested);
     }
 
-    /// All listed VMs.
+    /// Returns all listed VMs.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// VMs heard from within the limit.
+    /// Returns the VMs whose last heartbeat was received within `limit`.
     pub fn live(&self, limit: Duration, now: SystemTime) -> impl Iterator<Item = &Member> {
         let is_live = move |member: &&Member| member.last_received.is_some_and(|received| received + limit >= now);
         self.members.values().filter(is_live)
     }
 
-    /// Until when a majority of the listed VMs counts as heard, if it ever was.
+    /// Returns the time until which a majority of the listed VMs confirms this VM's configuration, if any.
     ///
-    /// Only VMs count that know no record past `own_next`, and only from when they were asked, since a
-    /// heartbeat that came unasked may be old. The VM itself, `own`, always counts.
+    /// A VM confirms it if it knows no record past `own_next`. Its confirmation counts from the time of the
+    /// heartbeat request, since an unrequested heartbeat may be old. This VM, `own`, always counts.
     pub fn majority_confirmed_until(
         &self,
         own: &str,
@@ -124,21 +125,21 @@
         let knows_nothing_newer =
             |member: &&Member| member.heartbeat.as_ref().is_some_and(|last| last.config_next <= own_next);
         let others = self.members.values().filter(|member| member.listed.id != own);
-        let mut asked: Vec<SystemTime> =
+        let mut requested: Vec<SystemTime> =
             others.filter(knows_nothing_newer).filter_map(|member| member.last_requested).collect();
-        asked.sort_unstable_by(|a, b| b.cmp(a));
+        requested.sort_unstable_by(|a, b| b.cmp(a));
         match self.members.len() / 2 {
             0 => Some(now + limit),
-            needed => asked.get(needed - 1).map(|asked| *asked + limit),
+            needed => requested.get(needed - 1).map(|requested| *requested + limit),
         }
     }
 }
 
-/// Whether a VM may take new requests although it can't reach the log.
+/// Returns whether a VM may accept new requests, given how stale its configuration is.
 ///
-/// With the log in reach a node confirms again and again that nothing newer exists. Without it, no VM
-/// can have accepted anything that a majority of us does not know, so a majority suffices; a node that
-/// has neither stops after `max_staleness`.
+/// While the log is reachable, a VM confirms repeatedly that nothing newer exists. Without the log, no VM
+/// can have accepted anything that a majority of the VMs doesn't know, so a majority suffices. A VM that
+/// has neither stops accepting requests after `max_staleness`.
 ///
 /// ```
 /// use std::time::Duration;
--- a/havengrade_core/src/retry_budget.rs
+++ b/havengrade_core/src/retry_budget.rs
@@ -1,11 +1,11 @@
-//! The retry budget: retries are paid for by first tries, so that they can't multiply an overload.
+//! Retry budget: limits retries to a share of first tries, so that they can't amplify an overload.
 
-/// What one retry costs, in hundredths.
+/// Hundredths of a retry in one retry.
 const HUNDREDTHS_PER_RETRY: u64 = 100;
-/// Retries that may be saved up.
+/// Default maximum of saved retries, which bounds a burst.
 const MAX_SAVED_RETRIES: u64 = 20;
 
-/// A budget of retries.
+/// Token bucket of retries that is refilled by first tries.
 ///
 /// ```
 /// use havengrade_core::retry_budget::RetryBudget;
@@ -24,12 +24,12 @@
 }
 
 impl RetryBudget {
-    /// A budget to which each first try adds a part of a retry, in hundredths.
+    /// Creates a budget to which each first try adds `retry_percent` hundredths of a retry.
     pub fn new(retry_percent: u32) -> Self {
         Self::with_max_saved(retry_percent, MAX_SAVED_RETRIES)
     }
 
-    /// A budget that saves up at most so many retries, and has them at the start.
+    /// Creates a budget that accumulates at most `max_saved` retries, and that starts full.
     ///
     /// ```
     /// use havengrade_core::retry_budget::RetryBudget;
@@ -43,17 +43,17 @@
         Self { saved: max_saved, max_saved, retry_percent: u64::from(retry_percent) }
     }
 
-    /// Changes what each first try adds, in hundredths of a retry; what is saved stays.
+    /// Sets how many hundredths of a retry each first try adds. The saved retries stay.
     pub fn set_retry_percent(&mut self, retry_percent: u32) {
         self.retry_percent = u64::from(retry_percent);
     }
 
-    /// Notes a first try.
+    /// Records a first try, which adds to the budget.
     pub fn record_first_try(&mut self) {
         self.saved = (self.saved + self.retry_percent).min(self.max_saved);
     }
 
-    /// Puts a retry back that was taken, since nothing was sent.
+    /// Returns an acquired retry to the budget, for a retry that wasn't sent.
     ///
     /// ```
     /// use havengrade_core::retry_budget::RetryBudget;
@@ -67,7 +67,7 @@
         self.saved = (self.saved + HUNDREDTHS_PER_RETRY).min(self.max_saved);
     }
 
-    /// Takes a retry out of the budget, if at least one more stays in it.
+    /// Acquires a retry if at least one more remains in the budget.
     ///
     /// ```
     /// use havengrade_core::retry_budget::RetryBudget;
@@ -80,7 +80,7 @@
         self.saved >= 2 * HUNDREDTHS_PER_RETRY && self.try_acquire()
     }
 
-    /// Takes a retry out of the budget, if there is one.
+    /// Acquires a retry if one is available.
     pub fn try_acquire(&mut self) -> bool {
         let is_enough = self.saved >= HUNDREDTHS_PER_RETRY;
         if is_enough {
--- a/havengrade_core/src/routing.rs
+++ b/havengrade_core/src/routing.rs
@@ -1,4 +1,4 @@
-//! The decision about one request: who may ask, and who answers.
+//! Routing: authenticates a request and decides which versions and endpoints serve it.
 
 use std::time::{Duration, SystemTime};
 
@@ -15,67 +15,67 @@
     session::{self, SessionError},
 };
 
-/// What a request says of itself.
+/// Routing metadata of a request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestMeta {
     /// Request class.
     pub class: ClassId,
-    /// Plain service that is called; none for chat.
+    /// Plain service that is called; `None` for chat.
     pub service: Option<ServiceId>,
-    /// Version that the caller insists on.
+    /// Version that the caller requires.
     pub version: Option<VersionId>,
     /// Session token, as the caller sent it.
     pub session_token: Option<String>,
-    /// Id by which a roll-out places the request: the session's or the request's.
+    /// Id of the session or the request, by which roll-outs assign it to a version.
     pub bucketing_id: SessionId,
     /// Whether the request has an idempotency key.
     pub has_key: bool,
 }
 
-/// Where a request goes.
+/// Destination of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// To model engines, over these versions in order.
+    /// Model engines.
     Engines {
-        /// Versions to try, from where the cascade starts.
+        /// Versions to try, in order.
         versions: Vec<VersionId>,
     },
-    /// To a plain service.
+    /// A plain service.
     Service {
         /// Name of the service.
         service: ServiceId,
     },
-    /// To the scripts that still serve it.
+    /// Legacy scripts that still serve the request during a migration.
     Scripts {
         /// The scripts' endpoint.
         endpoint: EndpointId,
     },
 }
 
-/// What was decided about a request.
+/// Routing decision for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoutingDecision {
-    /// Where it goes.
+    /// Destination of the request.
     pub route: Route,
-    /// Its class.
+    /// Request class.
     pub class: RequestClass,
-    /// Time that it has from its arrival.
+    /// Time limit, counted from the arrival of the request.
     pub deadline: Duration,
-    /// Whether its version is pinned by a session.
+    /// Whether session affinity determines the version.
     pub has_session_affinity: bool,
-    /// Whether it must hold a claim before it is sent.
+    /// Whether the request must hold a claim before it is sent.
     pub needs_claim: bool,
-    /// Quality that an answer should reach; none for plain services.
+    /// Quality that an answer should reach; `None` for plain services.
     pub quality_target: Option<Permille>,
-    /// Whether a whole answer is rated before it is given, and a poor one passed on to the next version.
+    /// Whether a complete answer is rated before delivery, and a poor one passed to the next version.
     pub checks_answers: bool,
 }
 
-/// Why a request is not served; none of these ran.
+/// Reason for refusing a request, which was not run.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Refusal {
-    /// No key, or one that fits no client account.
+    /// The key is missing or belongs to no client account.
     #[snafu(display("Authorization: the key is missing or unknown; send `Bearer <account>.<secret>`"))]
     Unauthenticated,
     /// The class does not exist.
@@ -96,13 +96,13 @@
         /// The version.
         version: VersionId,
     },
-    /// No version of the cascade is allowed and in use.
+    /// No version of the cascade is both allowed and in use.
     #[snafu(display("class {class}: no version of its cascade is both in use and allowed for the client account"))]
     NoVersion {
         /// The class.
         class: ClassId,
     },
-    /// The class is not one of plain services, or the other way round.
+    /// The class is for chat and the path for plain services, or the other way round.
     #[snafu(display("X-Havengrade-Class: class {class} does not fit this call; use the path that it is meant for"))]
     WrongPath {
         /// The class.
@@ -114,16 +114,16 @@
         /// The service.
         service: ServiceId,
     },
-    /// The request may not be repeated and has no key.
+    /// A request that must not be repeated has no idempotency key.
     #[snafu(display("Idempotency-Key: class {class} may not be repeated; send a key that is new for each request"))]
     KeyNeeded {
         /// The class.
         class: ClassId,
     },
-    /// The session token can't be used.
+    /// The session token is invalid.
     #[snafu(display("X-Havengrade-Session: {source}"))]
     BadSession {
-        /// What is wrong with it.
+        /// Reason why the token is invalid.
         source: SessionError,
     },
     /// The session's version was withdrawn or is no longer allowed.
@@ -134,7 +134,7 @@
     },
 }
 
-/// Finds the client account of a key, `account.secret`.
+/// Returns the client account of a key of the form `account.secret`.
 ///
 /// # Errors
 ///
@@ -147,11 +147,11 @@
     account.filter(|_| fits).context(UnauthenticatedSnafu)
 }
 
-/// Decides where a client account's request goes.
+/// Decides the route of a client account's request.
 ///
 /// # Errors
 ///
-/// [`Refusal`] names the field at fault and the remedy; the request did not run.
+/// [`Refusal`], which names the invalid field and the remedy; the request was not run.
 pub fn decide_route(
     catalog: &Catalog,
     account: &Account,
@@ -203,7 +203,7 @@
         let version = affinity_version(catalog, account, class, token, now)?;
         return Ok((Route::Engines { versions: vec![version] }, true));
     }
-    let versions = versions(catalog, account, class, meta, evidence, rng)?;
+    let versions = plan_versions(catalog, account, class, meta, evidence, rng)?;
     Ok((Route::Engines { versions }, false))
 }
 
@@ -221,7 +221,7 @@
     Ok(version)
 }
 
-fn versions(
+fn plan_versions(
     catalog: &Catalog,
     account: &Account,
     class: &RequestClass,
@@ -238,13 +238,13 @@
     let cascade = cascade.context(WrongPathSnafu { class: &class.id })?;
     let planned = cascade::plan(cfg, account, &class.id, cascade, evidence, rng.next_u64());
     ensure!(!planned.versions.is_empty(), NoVersionSnafu { class: &class.id });
-    let place = |version: &VersionId| rollout::version_for(cfg, account, evidence, version, &meta.bucketing_id);
-    Ok(planned.versions.iter().map(place).collect())
+    let assign = |version: &VersionId| rollout::version_for(cfg, account, evidence, version, &meta.bucketing_id);
+    Ok(planned.versions.iter().map(assign).collect())
 }
 
-/// Chooses the endpoint for a version of the versions, a service or the scripts.
+/// Chooses the endpoint for a version of the route, a plain service or the scripts.
 ///
-/// The version is looked at again, since it may have been withdrawn after the request was decided.
+/// The version is checked again, since it may have been withdrawn after the routing decision.
 pub fn choose_endpoint<'a>(
     catalog: &'a Catalog,
     route: &Route,
@@ -269,7 +269,9 @@
     }
 }
 
-/// Time until the first of the endpoints for a version of the versions or a service no longer wants rest; none where one of them wants none.
+/// Returns the time until the first backoff ends among the endpoints of a version, a service or the scripts.
+///
+/// Returns `None` if one of the endpoints requests no backoff.
 pub fn backoff_left(
     catalog: &Catalog,
     route: &Route,
--- a/havengrade_core/src/session.rs
+++ b/havengrade_core/src/session.rs
@@ -1,4 +1,4 @@
-//! Sessions: the version pin travels with the caller in a signed token.
+//! Sessions: the caller holds the session affinity to a model version in a signed token.
 
 use std::time::{Duration, SystemTime};
 
@@ -12,34 +12,34 @@
     ids::{AccountId, ClassId, SessionId, VersionId},
 };
 
-/// Largest token that is looked at, in bytes.
-const MAX_TOKEN: usize = 2048;
+/// Maximum size of a token, in bytes.
+const MAX_TOKEN_BYTES: usize = 2048;
 
-/// What a session keeps.
+/// Content of a session token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Session {
     /// Id of the session.
     pub id: SessionId,
-    /// Client account that opened it.
+    /// Client account that opened the session.
     pub account: AccountId,
-    /// Request class that it was opened for.
+    /// Request class of the session.
     pub class: ClassId,
-    /// Version that it keeps.
+    /// Model version that serves the session.
     pub version: VersionId,
-    /// When it ends, as time since the Unix epoch.
+    /// End of the session, as time since the Unix epoch.
     pub ends: Duration,
 }
 
-/// Why a token was refused.
+/// Reason for refusing a token.
 #[derive(Debug, Snafu)]
 pub enum SessionError {
-    /// The token is not one of ours, or was altered.
+    /// The token wasn't issued by this deployment, or was modified.
     #[snafu(display("session token: it is not one of ours; send it back as it was given, or open a new session"))]
     Malformed,
-    /// The token's content is not what this version writes.
+    /// The token's content can't be deserialised.
     #[snafu(display("session token: {source}; open a new session"))]
     Content {
-        /// What the reader says.
+        /// Deserialisation error.
         source: serde_json::Error,
     },
     /// The key that signed the token is no longer in the configuration.
@@ -51,12 +51,12 @@
     /// The token belongs to another client account or class.
     #[snafu(display("session token: it was given for another client account or class; open a new session"))]
     WrongOwner,
-    /// The session has lasted as long as it may.
+    /// The session has expired.
     #[snafu(display("session token: the session has ended; open a new session"))]
     Expired,
 }
 
-/// Signs a session's token, `key.payload.tag`.
+/// Returns the signed token of a session, in the form `key.payload.tag`.
 ///
 /// ```
 /// use std::time::{Duration, SystemTime};
@@ -75,13 +75,13 @@
     format!("{}.{payload}.{tag}", key.id)
 }
 
-/// Reads a token that a caller sent back.
+/// Verifies a token that a caller sent, and returns the session in it.
 ///
 /// # Errors
 ///
-/// [`SessionError`] tells whether the token is foreign, altered, too old or another's.
+/// [`SessionError`], which names what is wrong with the token.
 pub fn verify(token: &str, cfg: &Config, account: &str, class: &str, now: SystemTime) -> Result<Session, SessionError> {
-    ensure!(token.len() <= MAX_TOKEN, MalformedSnafu);
+    ensure!(token.len() <= MAX_TOKEN_BYTES, MalformedSnafu);
     let (key_id, rest) = token.split_once('.').context(MalformedSnafu)?;
     let (payload, tag) = rest.split_once('.').context(MalformedSnafu)?;
     let key = cfg.session_keys.get(key_id).context(UnknownKeySnafu { key: key_id })?;
--- a/havengrade_core/tests/claims.rs
+++ b/havengrade_core/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims, refusals and outcomes: every order of a few records, and what each may never lead to.
+//! Claims, voided attempts and outcomes: invariants of the ledger in every order of a few records.
 #![allow(clippy::unwrap_used)]
 
 use std::{
@@ -48,21 +48,21 @@
     }
 }
 
-/// What a VM may do next with an attempt, as the router does it.
+/// State of an attempt on a VM, as in the router.
 #[derive(Clone, Debug, PartialEq)]
 enum Vm {
     Claiming(Claim),
-    Refusing(Claim),
-    /// Its claim counts, so it has sent.
+    Voiding(Claim),
+    /// Its claim took effect, so it has sent the request.
     Sent(Claim),
-    /// It told its caller "not run".
-    ToldNotRun(Claim),
+    /// It answered its caller that the request was not run.
+    AnsweredNotRun(Claim),
     Done,
 }
 
-/// A state of the exploration: the ledger, the VMs, and what has happened outside.
+/// State of the exploration: the ledger, the VMs, the sent requests and the bills.
 #[derive(Clone)]
-struct World {
+struct Simulation {
     ledger: Ledger,
     vms: Vec<Vm>,
     sent: Vec<Claim>,
@@ -70,7 +70,7 @@
     offset: u64,
 }
 
-impl World {
+impl Simulation {
     fn append(&mut self, writer: u64, record: &LedgerRecord) -> ApplyResult {
         let batch = Batch { writer, seq: self.offset + 1, at: now(), records: vec![record.clone()] };
         let verdict = self.ledger.replay(self.offset, &batch).unwrap().remove(0);
@@ -81,7 +81,7 @@
         verdict
     }
 
-    /// Takes one VM's next step, which appends a record.
+    /// Performs the next step of a VM, which appends a record. Returns `false` if it has none left.
     fn step(&mut self, index: usize) -> bool {
         let next = match self.vms[index].clone() {
             Vm::Claiming(claim) => match self.append(claim.holder, &LedgerRecord::Claim(claim.clone())) {
@@ -89,14 +89,14 @@
                     self.sent.push(claim.clone());
                     Vm::Sent(claim)
                 },
-                ApplyResult::AlreadyVoided { .. } => Vm::ToldNotRun(claim),
+                ApplyResult::AlreadyVoided { .. } => Vm::AnsweredNotRun(claim),
                 _ => Vm::Done,
             },
-            Vm::Refusing(claim) => {
+            Vm::Voiding(claim) => {
                 let (up_to, holder, request_id) = (claim.attempt, claim.holder, claim.request_id.clone());
                 let record = LedgerRecord::Void { key: key(), up_to, holder, request_id };
                 match self.append(claim.holder, &record) {
-                    ApplyResult::Applied => Vm::ToldNotRun(claim),
+                    ApplyResult::Applied => Vm::AnsweredNotRun(claim),
                     _ => Vm::Done,
                 }
             },
@@ -106,7 +106,7 @@
                 self.append(claim.holder, &LedgerRecord::Settle { key: key(), request_id, outcome, bill });
                 Vm::Done
             },
-            Vm::ToldNotRun(_) | Vm::Done => return false,
+            Vm::AnsweredNotRun(_) | Vm::Done => return false,
         };
         self.vms[index] = next;
         true
@@ -115,56 +115,56 @@
     fn check(&self) {
         assert!(self.sent.len() <= 1, "sent twice: {:?}", self.sent);
         for vm in &self.vms {
-            let Vm::ToldNotRun(told) = vm else { continue };
-            let broken = self.sent.iter().find(|sent| sent.attempt <= told.attempt);
-            assert!(broken.is_none(), "{told:?} was told not run, but {broken:?} was sent");
+            let Vm::AnsweredNotRun(refused) = vm else { continue };
+            let contradicting = self.sent.iter().find(|sent| sent.attempt <= refused.attempt);
+            assert!(contradicting.is_none(), "{refused:?} was answered with not run, but {contradicting:?} was sent");
         }
         assert!(self.bills.len() <= 1);
     }
 }
 
-/// Explores all orders in which the VMs can take their steps; gives how many ends there are.
-fn explore(world: &World, ends: &mut BTreeSet<String>) -> usize {
-    world.check();
+/// Explores all orders of the VMs' steps and returns the number of complete orders.
+fn explore(simulation: &Simulation, final_states: &mut BTreeSet<String>) -> usize {
+    simulation.check();
     let mut count = 0;
-    for index in 0..world.vms.len() {
-        let mut next = world.clone();
+    for index in 0..simulation.vms.len() {
+        let mut next = simulation.clone();
         if next.step(index) {
-            count += explore(&next, ends);
+            count += explore(&next, final_states);
         }
     }
     if count == 0 {
-        assert_eq!(world.bills.len(), world.sent.len(), "what was sent has one bill");
-        ends.insert(format!("{:?}", world.sent));
+        assert_eq!(simulation.bills.len(), simulation.sent.len(), "each sent request has one bill");
+        final_states.insert(format!("{:?}", simulation.sent));
         return 1;
     }
     count
 }
 
-fn world(vms: Vec<Vm>) -> World {
-    World { ledger: Ledger::default(), vms, sent: Vec::new(), bills: Bills::default(), offset: 0 }
+fn simulation(vms: Vec<Vm>) -> Simulation {
+    Simulation { ledger: Ledger::default(), vms, sent: Vec::new(), bills: Bills::default(), offset: 0 }
 }
 
 #[test]
-fn no_order_of_claims_and_refusals_runs_twice_or_breaks_a_not_run() {
-    let mut ends = BTreeSet::new();
+fn no_order_of_claims_and_voids_sends_twice_or_sends_a_voided_attempt() {
+    let mut final_states = BTreeSet::new();
     let mut count = 0;
-    // Each of four VMs claims or refuses, for attempts 1 to 2; every mix of them, in every order.
-    for mix in 0..4_u32.pow(4) {
+    // Each of four VMs claims or voids attempt 1 or 2: every combination, in every order.
+    for combination in 0..4_u32.pow(4) {
         let vm = |index: u64| {
-            let choice = mix / 4_u32.pow(u32::try_from(index).unwrap()) % 4;
+            let choice = combination / 4_u32.pow(u32::try_from(index).unwrap()) % 4;
             let claim = claim(index, 1 + choice / 2);
-            if choice.is_multiple_of(2) { Vm::Claiming(claim) } else { Vm::Refusing(claim) }
+            if choice.is_multiple_of(2) { Vm::Claiming(claim) } else { Vm::Voiding(claim) }
         };
-        count += explore(&world((0..4).map(vm).collect()), &mut ends);
+        count += explore(&simulation((0..4).map(vm).collect()), &mut final_states);
     }
-    // Some orders send nothing, and each attempt of each VM is the one that sends in some order.
+    // Some orders send nothing, and each attempt of each VM is the one that is sent in some order.
     assert!(count > 10_000, "{count} orders");
-    assert_eq!(ends.len(), 1 + 4 * 2);
+    assert_eq!(final_states.len(), 1 + 4 * 2);
 }
 
 #[test]
-fn batch_that_lands_after_a_later_one_has_no_effect() {
+fn batch_appended_after_a_later_one_has_no_effect() {
     let mut ledger = Ledger::default();
     let batch = |seq, record| Batch { writer: 1, seq, at: now(), records: vec![record] };
     ledger.replay(0, &batch(2, LedgerRecord::Claim(claim(1, 2)))).unwrap();
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn keys_are_forgotten_by_when_they_last_changed_and_never_while_open() {
+fn keys_are_evicted_by_last_change_and_never_while_their_claim_is_open() {
     let mut ledger = Ledger::default();
     let horizon = Duration::from_secs(100);
     let batch = |seq: u64, at: u64, record| Batch {
@@ -191,16 +191,16 @@
         LedgerRecord::Void { key, up_to: 1, holder: 9, request_id: "other".into() }
     };
     ledger.replay(2, &batch(3, 150, other(1))).unwrap();
-    ledger.evict_settled(horizon);
+    ledger.evict_expired(horizon);
     assert!(ledger.key_state(&key()).is_some(), "it changed 60 s ago");
     ledger.replay(3, &batch(4, 250, other(2))).unwrap();
-    ledger.evict_settled(horizon);
+    ledger.evict_expired(horizon);
     assert!(ledger.key_state(&key()).is_some(), "its claim is open");
     let outcome = Outcome::MayHaveRun;
     let settle = LedgerRecord::Settle { key: key(), request_id: claim(1, 2).request_id, outcome, bill: None };
     ledger.replay(4, &batch(5, 251, settle)).unwrap();
     ledger.replay(5, &batch(6, 400, other(3))).unwrap();
-    ledger.evict_settled(horizon);
+    ledger.evict_expired(horizon);
     assert!(ledger.key_state(&key()).is_none());
     assert!(ledger.claimed_request(&claim(1, 2).request_id).is_none());
 }
--- a/havengrade_router/src/services/ledger.rs
+++ b/havengrade_router/src/services/ledger.rs
@@ -189,7 +189,7 @@
         }
         let after = slice.records.last().map_or(slice.first, |record| record.offset + 1);
         self.next.fetch_max(after, Ordering::AcqRel);
-        self.ledger.evict_settled(Duration::from_secs(self.cx.shared.settings.claims.horizon_s));
+        self.ledger.evict_expired(Duration::from_secs(self.cx.shared.settings.claims.horizon_s));
     }
 
     fn replay(&mut self, offset: Offset, batch: &Batch) {
