--- a/havengrade_core/src/published/cold.rs
+++ b/havengrade_core/src/published/cold.rs
@@ -1,27 +1,28 @@
-//! Cold endpoints: those that have just started, or come back, bear few requests a second, from all VMs together.
+//! Cold endpoints: endpoints that have just started or become available again, and accept few requests per second from all VMs
+//! together until they have warmed up.
 
 use std::{collections::HashMap, time::SystemTime};
 
 use crate::ids::EndpointId;
 
-/// The endpoints that are cold.
+/// The endpoints that are cold according to their directory entries.
 #[derive(Clone, Debug, Default)]
 pub struct ColdEndpoints {
     until: HashMap<EndpointId, SystemTime>,
 }
 
 impl ColdEndpoints {
-    /// Takes until when endpoints are cold by their entries; all others are warm.
+    /// Replaces all entries: the cold endpoints, each with the time until which it is cold.
     pub fn set(&mut self, until: HashMap<EndpointId, SystemTime>) {
         self.until = until;
     }
 
-    /// Whether an endpoint is cold by its entry.
+    /// Whether the entry of an endpoint says that it is cold.
     pub fn is_cold(&self, endpoint: &str, now: SystemTime) -> bool {
         self.until.get(endpoint).is_some_and(|until| now < *until)
     }
 
-    /// Forgets endpoints that are cold no longer.
+    /// Drops endpoints that have warmed up.
     pub fn prune(&mut self, now: SystemTime) {
         self.until.retain(|_, until| now < *until);
     }
--- a/havengrade_core/src/published/emptied_domains.rs
+++ b/havengrade_core/src/published/emptied_domains.rs
@@ -1,4 +1,4 @@
-//! Failure domains that operators have emptied: their endpoints get nothing until the order is taken back.
+//! Failure domains that operators have emptied: their endpoints get no requests until the order is revoked.
 
 use std::{
     collections::BTreeMap,
@@ -9,29 +9,30 @@
 
 use crate::ids::DomainId;
 
-/// Time after a domain was taken back for which its endpoints are taken to be cold, whatever is known of them.
+/// Time after an order is revoked for which the endpoints of the domain are treated as cold, whatever their entries say.
 ///
-/// They may have turned cold shortly before. An endpoint writes its entry about every 1.2 s, the list is read every 0.6 s, and a VM
-/// asks the readers every 0.4 s, so that by then each entry was written since.
+/// They may have turned cold shortly before. An endpoint writes its entry about every 1.2 s, the list is read every 0.6 s, and
+/// a VM polls the readers every 0.4 s, so that after this time each entry is newer than the revocation.
 const ENTRY_UPDATE_TIME: Duration = Duration::from_millis(3000);
 
-/// What operators wrote of emptied domains.
+/// A change of the emptied domains that operators ordered, or the list of all of them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DomainEvent {
-    /// The endpoints of a domain are to get nothing.
+    /// The endpoints of a domain are to get no requests.
     Emptied(DomainId),
-    /// The order was taken back.
+    /// The order to empty a domain was revoked.
     Refilled(DomainId),
-    /// All domains that are emptied.
+    /// All emptied domains.
     All {
         /// The domains.
         emptied: Vec<DomainId>,
-        /// Whether no order can be missing; one is where the store has just lost some, and operators write it again.
+        /// Whether the list is known to be complete; it may not be if the store has just lost records, until operators repeat
+        /// their orders.
         is_sure: bool,
     },
 }
 
-/// The failure domains that are emptied, as far as a VM knows.
+/// The emptied failure domains that a VM knows.
 ///
 /// ```
 /// use std::time::{Duration, SystemTime};
@@ -49,9 +50,9 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct EmptiedDomains {
-    /// Emptied domains, each with the time since which this VM knows.
+    /// Emptied domains, each with the time at which this VM learned of the order.
     emptied: BTreeMap<DomainId, SystemTime>,
-    /// Domains that were taken back, each with the time since which this VM knows.
+    /// Domains whose order was revoked, each with the time at which this VM learned of it.
     refilled: BTreeMap<DomainId, SystemTime>,
     is_sure: bool,
 }
@@ -63,7 +64,7 @@
 }
 
 impl EmptiedDomains {
-    /// Takes what operators wrote; gives the domains that are emptied since, and those that are taken back.
+    /// Applies an event, and returns the newly emptied domains and those whose order was revoked.
     pub fn apply(&mut self, event: DomainEvent, now: SystemTime) -> (Vec<DomainId>, Vec<DomainId>) {
         let (emptied, refilled) = match event {
             DomainEvent::Emptied(domain) => (vec![domain], Vec::new()),
@@ -88,23 +89,24 @@
         (emptied, refilled)
     }
 
-    /// Whether the endpoints of a domain are to get nothing.
+    /// Whether the endpoints of a domain are to get no requests.
     pub fn is_emptied(&self, domain: &str) -> bool {
         self.emptied.contains_key(domain)
     }
 
-    /// Whether the endpoints of a domain may be cold without their entries telling it yet, since it was taken back lately.
+    /// Whether the endpoints of a domain may be cold although their entries don't say so yet, since the order to empty it was
+    /// revoked recently.
     pub fn may_be_cold(&self, domain: &str, now: SystemTime) -> bool {
         self.refilled.get(domain).is_some_and(|at| now < *at + ENTRY_UPDATE_TIME)
     }
 
-    /// Time for which the last of the emptied domains is known to be, for callers who must wait for one of them.
+    /// Time since this VM learned of the most recently emptied domain, for the retry delay of callers.
     pub fn emptied_for(&self, now: SystemTime) -> Duration {
         let since = self.emptied.values().max().copied().unwrap_or(now);
         now.duration_since(since).unwrap_or_default()
     }
 
-    /// All emptied domains, for a VM that asks.
+    /// An event with all emptied domains, for a state transfer to another VM.
     pub fn snapshot(&self) -> DomainEvent {
         DomainEvent::All { emptied: self.emptied.keys().cloned().collect(), is_sure: self.is_sure }
     }
--- a/havengrade_core/src/published/retry_after.rs
+++ b/havengrade_core/src/published/retry_after.rs
@@ -1,76 +1,77 @@
-//! When a caller whose request did not run should come back.
+//! The retry delay for a caller whose request didn't run.
 //!
-//! Most callers come back once. Told too early, they are refused again and are lost; told all the same time,
-//! they come all at once.
+//! Most callers retry once. A caller with too short a delay is rejected again and gives up; callers with the same delay all
+//! retry at the same moment.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt as _};
 
-/// Why a request was not run, as far as it matters to when it may be.
+/// Why a request didn't run, as far as it determines when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryReason {
-    /// This VM can't serve it, another one can.
+    /// This VM can't serve the request, but another one can.
     VmUnavailable,
-    /// No endpoint has room.
+    /// All endpoints are fully occupied.
     EndpointsFull,
-    /// The only version of the service that is there was found to be bad; operators must bring another one.
+    /// The only available version of the service was found to be bad; operators must deploy another one.
     BadVersion,
-    /// No endpoint that could serve it takes another request now.
+    /// No endpoint that could serve the request accepts another one now.
     EndpointsAtLimit {
         /// Time until the first of them does.
         retry_after: Duration,
     },
-    /// All endpoints that could serve it leave; others may be listed soon.
+    /// All endpoints that could serve the request are shutting down; others may be listed soon.
     EndpointsShuttingDown,
-    /// All endpoints that could serve it stand in failure domains that operators have emptied.
+    /// All endpoints that could serve the request are in failure domains that operators have emptied.
     DomainsEmptied {
-        /// Time for which they have been, as far as is known.
+        /// Time for which the domains are known to have been emptied.
         known_for: Duration,
     },
-    /// The version of its session is gone, and a session that has ended may begin anew with another one.
+    /// The version of the session is gone; the session can start anew with another version once it has ended.
     SessionVersionGone {
         /// Time until the session ends.
         left: Duration,
     },
-    /// Endpoints end under the request.
+    /// The request is quarantined, since endpoints crashed while they served it.
     Quarantine {
-        /// Time after which it may be free again.
+        /// Time after which it may be released.
         retry_after: Duration,
     },
-    /// No VM can serve it until the store is back.
+    /// No VM can serve the request until the store is reachable again.
     StoreUnreachable {
-        /// Time for which the store has not been reached, as far as is known.
+        /// Time for which the store is known to have been unreachable.
         known_for: Duration,
     },
 }
 
-/// Time to come back to another VM.
+/// Retry delay if another VM can serve the request.
 const OTHER_VM_DELAY: Duration = Duration::from_millis(50);
-/// Time in which the queue of a full endpoint gets shorter.
+/// Time in which the queue of a full endpoint shortens.
 const QUEUE_DELAY: Duration = Duration::from_millis(200);
-/// Time in which operators may bring another version; most callers can't wait longer.
+/// Time in which operators may deploy another version; most callers can't wait longer.
 const VERSION_DELAY: Duration = Duration::from_secs(5);
-/// Time after the end of a session, as a VM counts it, from which it has ended for its caller too, who had the last answer a moment later.
-const SESSION_SLACK: Duration = Duration::from_millis(100);
-/// Least time that an outage of the store is expected to last on.
+/// Margin after the end of a session as a VM counts it. For the caller, the session ends a moment later, since the last answer
+/// reached it later.
+const SESSION_MARGIN: Duration = Duration::from_millis(100);
+/// Lower bound on the expected remaining time of a store outage.
 const MIN_OUTAGE: Duration = Duration::from_millis(1000);
-/// Most time that a caller is told to wait for the store.
+/// Upper bound on the delay for a store outage.
 const MAX_OUTAGE: Duration = Duration::from_secs(5);
-/// Most time that a caller is told to wait for an endpoint that takes few requests; others may have room by then.
+/// Upper bound on the delay for a limited endpoint; other endpoints may accept requests by then.
 const MAX_LIMIT_DELAY: Duration = Duration::from_secs(5);
-/// Time in which other endpoints are listed in place of those that leave.
+/// Time in which other endpoints are listed in place of those that are shutting down.
 const REPLACEMENT_DELAY: Duration = Duration::from_millis(1000);
-/// Least time that an order to empty a failure domain is expected to stand on.
+/// Lower bound on the expected remaining time for which a failure domain stays emptied.
 const MIN_EMPTIED: Duration = Duration::from_millis(1000);
-/// Most time that a caller is told to wait for a domain to be taken back.
+/// Upper bound on the delay for an emptied failure domain.
 const MAX_EMPTIED: Duration = Duration::from_secs(5);
-/// Part of the time by which callers are with_jitter.
+/// Share of the delay that is added at random at most, so that callers don't all retry at the same moment.
 const JITTER: f64 = 0.5;
 
-/// Time after which a caller should come back.
+/// The delay after which a caller should retry.
 ///
-/// Nothing tells how long an outage or an order of operators will last; it is expected to last as long again as it has lasted.
+/// How long an outage or an operator's order will last is unknown; it is expected to last as long again as it has so far.
 ///
 /// ```
 /// use std::time::Duration;
@@ -78,11 +79,11 @@
 /// use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng as _};
 ///
 /// let mut rng = ChaCha8Rng::seed_from_u64(1);
-/// let wait = retry_delay(RetryReason::StoreUnreachable { known_for: Duration::from_secs(3) }, &mut rng);
-/// assert!(wait >= Duration::from_secs(3) && wait < Duration::from_millis(4500));
+/// let delay = retry_delay(RetryReason::StoreUnreachable { known_for: Duration::from_secs(3) }, &mut rng);
+/// assert!(delay >= Duration::from_secs(3) && delay < Duration::from_millis(4500));
 /// ```
 pub fn retry_delay(reason: RetryReason, rng: &mut dyn Rng) -> Duration {
-    let mut with_jitter = |time: Duration| time.mul_f64(1.0 + JITTER * rng.random::<f64>());
+    let mut with_jitter = |delay: Duration| delay.mul_f64(1.0 + JITTER * rng.random::<f64>());
     match reason {
         RetryReason::VmUnavailable => OTHER_VM_DELAY,
         RetryReason::EndpointsFull => QUEUE_DELAY,
@@ -92,7 +93,7 @@
         RetryReason::EndpointsShuttingDown => with_jitter(REPLACEMENT_DELAY),
         RetryReason::BadVersion => with_jitter(VERSION_DELAY),
         RetryReason::DomainsEmptied { known_for } => with_jitter(known_for.clamp(MIN_EMPTIED, MAX_EMPTIED)),
-        RetryReason::SessionVersionGone { left } => left + SESSION_SLACK,
+        RetryReason::SessionVersionGone { left } => left + SESSION_MARGIN,
         RetryReason::Quarantine { retry_after } => retry_after,
         RetryReason::StoreUnreachable { known_for } => with_jitter(known_for.clamp(MIN_OUTAGE, MAX_OUTAGE)),
     }
--- a/havengrade_core/src/published/send_budget.rs
+++ b/havengrade_core/src/published/send_budget.rs
@@ -1,8 +1,9 @@
-//! What each VM may send to an endpoint that takes few requests a second from all VMs together.
+//! The share of an endpoint's rate limit that this VM may use.
 //!
-//! It is divided among a few VMs of the endpoint's own failure domain, chosen in an order that all VMs share. The others
-//! send nothing. So the sum holds however large the fleet is and whatever VMs know of each other's work; a share for each VM
-//! would be less than one request in a second.
+//! An endpoint's limit applies to all VMs together. It is divided among a few VMs, the holders, which are chosen by an order
+//! that all VMs compute alike, those in the endpoint's own failure domain first; the other VMs send nothing. The sum thus
+//! stays within the limit however large the fleet is, and whatever VMs know of each other's work. An equal share for each VM
+//! would be less than one request per second.
 
 use std::{
     collections::HashMap,
@@ -15,19 +16,19 @@
     ranking::rank,
 };
 
-/// VMs that divide among them what an endpoint takes.
+/// Number of VMs that share an endpoint's limit.
 ///
-/// One may be gone without anybody knowing it yet. Where lists of VMs differ so that one more takes part, each sends
-/// what it may, and the endpoint gets half as much again, which operators allow for.
+/// More than one, since a holder may be down before other VMs notice. If the VMs' lists of VMs differ so that an additional VM
+/// takes itself for a holder, the endpoint gets half as many requests again, which operators allow for.
 pub const HOLDERS: usize = 2;
-/// Requests that a VM may save up for an endpoint; more would come at once.
+/// Highest number of requests that accumulate in a budget; a larger budget would be spent in a burst.
 const MAX_BURST: f64 = 1.0;
 
-/// Whether a VM is one of those that may send to an endpoint.
+/// Whether a VM is one of the holders of an endpoint in a holder round.
 ///
-/// `others` are the VMs that it knows. Those of the endpoint's failure domain come first, since for them it is near and
-/// they have the most to send there; those that are missing there are made up for by the first of the others. `round` counts how
-/// often the next ones took over, since nothing was heard of those before.
+/// `others` are the other VMs that it knows. VMs in the endpoint's failure domain rank first, since they are near the endpoint
+/// and send most of the requests to it; the first VMs of other domains stand in if there are too few. `round` is the number of
+/// times that the next holders took over because no VM reported an answer of the endpoint.
 pub fn is_holder<'a>(
     me: (&VmId, &str),
     others: impl Iterator<Item = &'a Peer> + Clone,
@@ -35,14 +36,14 @@
     round: u64,
 ) -> bool {
     let (vm, domain) = me;
-    let place = |vm: &VmId| rank(&[vm, &endpoint.id]);
+    let rank_of = |vm: &VmId| rank(&[vm, &endpoint.id]);
     let is_near = |peer: &&Peer| peer.failure_domain == endpoint.failure_domain;
-    let own = place(vm);
-    let before = |peer: &&Peer| place(&peer.vm) > own;
+    let own = rank_of(vm);
+    let ranks_before = |peer: &&Peer| rank_of(&peer.vm) > own;
     let index = if domain == endpoint.failure_domain {
-        others.clone().filter(is_near).filter(before).count()
+        others.clone().filter(is_near).filter(ranks_before).count()
     } else {
-        let far_before = others.clone().filter(|peer| !is_near(peer)).filter(before).count();
+        let far_before = others.clone().filter(|peer| !is_near(peer)).filter(ranks_before).count();
         others.clone().filter(is_near).count() + far_before
     };
     let all = others.count() + 1;
@@ -50,36 +51,37 @@
     (index + all - first) % all < HOLDERS
 }
 
-/// By what it was worked out whether a VM is a holder.
+/// The inputs that determine whether this VM is a holder; a cached result is valid as long as they are unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HolderInputs {
-    /// Revision of the known VMs.
+    /// Revision of the list of VMs.
     pub vms_revision: u64,
-    /// How often the next VMs took over.
+    /// The holder round.
     pub round: u64,
 }
 
-/// What this VM may send to an endpoint.
+/// The requests that this VM may send to one endpoint.
 #[derive(Clone, Copy, Debug)]
 struct SendBudget {
     is_holder: bool,
     inputs: HolderInputs,
-    /// Requests that may be sent now.
+    /// Requests that may be sent immediately.
     available: f64,
     updated_at: SystemTime,
 }
 
-/// What this VM may send to the endpoints that take few requests.
+/// The send budgets of all limited endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct SendBudgets {
     by_endpoint: HashMap<EndpointId, SendBudget>,
 }
 
 impl SendBudgets {
-    /// Time until this VM may send a request to an endpoint that takes `per_s` of them a second; zero for now.
+    /// Time until this VM may send a request to an endpoint that accepts `per_s` requests per second from all VMs; zero if it
+    /// may send one immediately.
     ///
-    /// Whether it is one of the holders is worked out again where the inputs of that has changed. Where it is none, this is the time
-    /// in which the endpoint takes a request from another VM.
+    /// `is_holder` is evaluated only if `inputs` differ from those of the last call. If this VM isn't a holder, the result is
+    /// the time in which the endpoint accepts one request from the holders.
     pub fn time_until_ready(
         &mut self,
         endpoint: &str,
@@ -93,8 +95,8 @@
         let is_holder =
             before.filter(|before| before.inputs == inputs).map_or_else(is_holder, |before| before.is_holder);
         let own_per_s = per_s / HOLDERS as f64;
-        let passed = now.duration_since(updated_at).unwrap_or_default();
-        let available = (available + passed.as_secs_f64() * own_per_s).min(MAX_BURST);
+        let elapsed = now.duration_since(updated_at).unwrap_or_default();
+        let available = (available + elapsed.as_secs_f64() * own_per_s).min(MAX_BURST);
         self.by_endpoint.insert(endpoint.to_owned(), SendBudget { is_holder, inputs, available, updated_at: now });
         if !is_holder {
             return time_to_earn(1.0, per_s);
@@ -102,20 +104,20 @@
         time_to_earn(1.0 - available, own_per_s)
     }
 
-    /// Takes what a request costs that is sent to an endpoint.
+    /// Deducts a request from the budget of an endpoint.
     pub fn spend(&mut self, endpoint: &str) {
         if let Some(budget) = self.by_endpoint.get_mut(endpoint) {
             budget.available = (budget.available - 1.0).max(0.0);
         }
     }
 
-    /// Forgets what was not asked for in a time.
-    pub fn prune(&mut self, kept_for: Duration, now: SystemTime) {
-        self.by_endpoint.retain(|_, budget| now < budget.updated_at + kept_for);
+    /// Drops budgets that were last updated more than `retention` ago.
+    pub fn prune(&mut self, retention: Duration, now: SystemTime) {
+        self.by_endpoint.retain(|_, budget| now < budget.updated_at + retention);
     }
 }
 
-/// Time in which so many requests come about.
+/// The time in which a rate of `per_s` yields `requests`.
 fn time_to_earn(requests: f64, per_s: f64) -> Duration {
     Duration::try_from_secs_f64(requests / per_s).unwrap_or(Duration::MAX)
 }
--- a/havengrade_core/src/published/send_limits.rs
+++ b/havengrade_core/src/published/send_limits.rs
@@ -1,4 +1,5 @@
-//! Whether an endpoint takes another request from this VM now: by what it says of itself, and while it is cold.
+//! Rate limits on the requests that this VM sends to an endpoint: those that the endpoint states in its answers, and the one
+//! that holds while the endpoint is cold.
 
 use std::time::{Duration, SystemTime};
 
@@ -9,53 +10,56 @@
     signals::{CurrentLimit, Signal, SignalChange, SignalTable},
 };
 
-/// Least requests a second that are sent to an endpoint with a limit, so that somebody learns when it names none any longer.
+/// Lowest rate at which a limited endpoint is sent requests, in requests per second: some answer must show when the endpoint
+/// lifts its limit.
 const MIN_PER_S: f64 = 0.1;
-/// Time without a word of a limited endpoint after which other VMs send to it: the holders may be gone, or have nothing to send.
+/// Age of the last stated limit at which the next holders take over: the current ones may be down, or have nothing to send.
 const HOLDER_ROUND: Duration = Duration::from_secs(10);
-/// Requests that the holders were to send in that time, at least.
+/// Lowest number of requests that the limit allows within a holder round; a lower limit makes the round longer.
 const MIN_REQUESTS_PER_ROUND: f64 = 4.0;
-/// Time until it is known which VMs may send to an endpoint that takes few requests.
+/// Delay before an endpoint is considered again when its holders can't be determined, since the list of VMs is not known yet.
 const PEER_LIST_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Time after which it is forgotten what was sent to an endpoint; a multiple of the time in which that counts.
+/// Time after which an unused send budget is dropped; a multiple of the time in which it affects any decision.
 const SEND_BUDGET_RETENTION: Duration = Duration::from_secs(60);
 
-/// Whether an endpoint takes another request from this VM.
+/// When an endpoint accepts another request from this VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Readiness {
-    /// It does.
+    /// Immediately.
     Now,
-    /// It does after a time.
+    /// After a delay.
     After(Duration),
-    /// It leaves.
+    /// Not at all, since the endpoint is shutting down.
     Never,
 }
 
-/// What is asked about an endpoint.
+/// An endpoint whose readiness is queried, and the facts that the answer depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct SendQuery<'a> {
     /// The endpoint.
     pub endpoint: &'a ListedEndpoint,
-    /// Requests a second that it bears while it is cold; 0 for any number.
+    /// Requests per second that the endpoint accepts at most while it is cold; 0 if there is no such limit.
     pub cold_per_s: f64,
-    /// Whether it may be cold although its entry does not say so.
+    /// Whether the endpoint may be cold although its directory entry doesn't say so.
     pub may_be_cold: bool,
-    /// Revision of the known VMs; none where this VM does not know the others yet, so that it can't tell whether it may send.
+    /// Revision of the list of VMs; none if this VM doesn't know the other VMs yet and can't tell whether it is a holder.
     pub vms_revision: Option<u64>,
 }
 
-/// What holds back requests to endpoints.
+/// The limits on requests to endpoints, and how much of them this VM has used.
 #[derive(Clone, Debug, Default)]
 pub struct SendLimits {
     /// The endpoints that are cold.
     pub cold: ColdEndpoints,
-    /// What endpoints said of themselves.
+    /// The signals of endpoints in their answers.
     pub signals: SignalTable,
     send_budgets: SendBudgets,
 }
 
 impl SendLimits {
-    /// Whether an endpoint takes another request from this VM; `is_holder` tells for a round whether this VM is one of those that send to it.
+    /// When an endpoint accepts another request from this VM.
+    ///
+    /// `is_holder` returns whether this VM is one of the endpoint's holders in a holder round.
     pub fn readiness(
         &mut self,
         query: SendQuery<'_>,
@@ -76,7 +80,8 @@
         if ready_in.is_zero() { Readiness::Now } else { Readiness::After(ready_in) }
     }
 
-    /// Requests a second that an endpoint takes from all VMs together, and whose round it is to send them; none where it takes any number.
+    /// The requests per second that an endpoint accepts from all VMs together, and the current holder round; none if the
+    /// endpoint has no limit.
     fn rate(&self, query: SendQuery<'_>, now: SystemTime) -> Option<(f64, u64)> {
         let endpoint = query.endpoint;
         let is_cold = || query.may_be_cold || self.cold.is_cold(&endpoint.id, now);
@@ -86,7 +91,7 @@
         Some((cold.map_or(per_s, |cold| cold.min(per_s)), holder_round(limit)))
     }
 
-    /// Takes what an answer says of its endpoint; gives what changed. `is_whole` as for [`SignalTable::record_answer`].
+    /// Records the signal of an answer, and returns what changed; `is_whole` as for [`SignalTable::record_answer`].
     pub fn record_signal(
         &mut self,
         endpoint: &ListedEndpoint,
@@ -98,22 +103,22 @@
         self.signals.record_answer(endpoint, signal, is_whole, round, now)
     }
 
-    /// Takes the place of a request that is about to be sent to an endpoint; tells whether there was one.
+    /// Reserves a request that is about to be sent to an endpoint; returns false if the endpoint accepts none now.
     pub fn try_reserve(&mut self, query: SendQuery<'_>, is_holder: impl FnOnce(u64) -> bool, now: SystemTime) -> bool {
         let is_ready = self.readiness(query, is_holder, now) == Readiness::Now;
-        // What is sent while the endpoint takes any number counts for nothing.
+        // Requests to an endpoint without a limit don't use up a budget.
         if is_ready && self.rate(query, now).is_some() {
             self.send_budgets.spend(&query.endpoint.id);
         }
         is_ready
     }
 
-    /// Whether nothing holds back requests to any endpoint, whose cold ones bear `cold_per_s` requests a second.
+    /// Whether no endpoint is limited, given the rate that cold endpoints accept (0 if there is no such limit).
     pub fn is_unlimited(&self, cold_per_s: f64) -> bool {
         cold_per_s <= 0.0 && self.signals.is_empty()
     }
 
-    /// Notes which endpoints are listed, and forgets what no longer holds.
+    /// Marks the listed endpoints as present, and drops expired state.
     pub fn retain_listed<'a>(&mut self, listed: impl Iterator<Item = &'a ListedEndpoint>, now: SystemTime) {
         self.cold.prune(now);
         self.signals.retain_listed(listed, now);
@@ -121,7 +126,8 @@
     }
 }
 
-/// Whose round it is to send to an endpoint: those who last heard of it go on, the next ones where nothing is heard for long.
+/// The current holder round of a limited endpoint: the round in which the limit was last stated, plus one for each full round
+/// without an answer since then.
 fn holder_round(limit: CurrentLimit) -> u64 {
     let round_s = HOLDER_ROUND.as_secs_f64().max(MIN_REQUESTS_PER_ROUND / limit.per_s.max(MIN_PER_S));
     limit.round.wrapping_add((limit.age.as_secs_f64() / round_s) as u64)
