--- a/havengrade_core/src/published/cold.rs
+++ b/havengrade_core/src/published/cold.rs
@@ -1,5 +1,5 @@
-//! Cold endpoints: endpoints that have just started or become available again, and accept few requests per second from all VMs
-//! together until they have warmed up.
+//! Cold endpoints: endpoints that have just started or become available again, and accept few requests per second from
+//! all VMs together until they have warmed up.
 
 use std::{collections::HashMap, time::SystemTime};
 
--- a/havengrade_core/src/published/emptied_domains.rs
+++ b/havengrade_core/src/published/emptied_domains.rs
@@ -9,10 +9,11 @@
 
 use crate::ids::DomainId;
 
-/// Time after an order is revoked for which the endpoints of the domain are treated as cold, whatever their entries say.
+/// Time after an order is revoked for which the endpoints of the domain are treated as cold, whatever their entries
+/// say.
 ///
-/// They may have turned cold shortly before. An endpoint writes its entry about every 1.2 s, the list is read every 0.6 s, and
-/// a VM polls the readers every 0.4 s, so that after this time each entry is newer than the revocation.
+/// They may have turned cold shortly before. An endpoint writes its entry about every 1.2 s, the list is read every 0.6
+/// s, and a VM polls the readers every 0.4 s, so that after this time each entry is newer than the revocation.
 const ENTRY_UPDATE_TIME: Duration = Duration::from_millis(3000);
 
 /// A change of the emptied domains that operators ordered, or the list of all of them.
@@ -26,8 +27,8 @@
     All {
         /// The domains.
         emptied: Vec<DomainId>,
-        /// Whether the list is known to be complete; it may not be if the store has just lost records, until operators repeat
-        /// their orders.
+        /// Whether the list is known to be complete; it may not be if the store has just lost records, until operators
+        /// repeat their orders.
         is_sure: bool,
     },
 }
@@ -94,8 +95,8 @@
         self.emptied.contains_key(domain)
     }
 
-    /// Whether the endpoints of a domain may be cold although their entries don't say so yet, since the order to empty it was
-    /// revoked recently.
+    /// Whether the endpoints of a domain may be cold although their entries don't say so yet, since the order to empty
+    /// it was revoked recently.
     pub fn may_be_cold(&self, domain: &str, now: SystemTime) -> bool {
         self.refilled.get(domain).is_some_and(|at| now < *at + ENTRY_UPDATE_TIME)
     }
--- a/havengrade_core/src/published/retry_after.rs
+++ b/havengrade_core/src/published/retry_after.rs
@@ -1,7 +1,7 @@
 //! The retry delay for a caller whose request didn't run.
 //!
-//! Most callers retry once. A caller with too short a delay is rejected again and gives up; callers with the same delay all
-//! retry at the same moment.
+//! Most callers retry once. A caller with too short a delay is rejected again and gives up; callers with the same delay
+//! all retry at the same moment.
 
 use std::time::Duration;
 
@@ -51,8 +51,8 @@
 const QUEUE_DELAY: Duration = Duration::from_millis(200);
 /// Time in which operators may deploy another version; most callers can't wait longer.
 const VERSION_DELAY: Duration = Duration::from_secs(5);
-/// Margin after the end of a session as a VM counts it. For the caller, the session ends a moment later, since the last answer
-/// reached it later.
+/// Margin after the end of a session as a VM counts it. For the caller, the session ends a moment later, since the last
+/// answer reached it later.
 const SESSION_MARGIN: Duration = Duration::from_millis(100);
 /// Lower bound on the expected remaining time of a store outage.
 const MIN_OUTAGE: Duration = Duration::from_millis(1000);
@@ -71,7 +71,8 @@
 
 /// The delay after which a caller should retry.
 ///
-/// How long an outage or an operator's order will last is unknown; it is expected to last as long again as it has so far.
+/// How long an outage or an operator's order will last is unknown; it is expected to last as long again as it has so
+/// far.
 ///
 /// ```
 /// use std::time::Duration;
--- a/havengrade_core/src/published/send_budget.rs
+++ b/havengrade_core/src/published/send_budget.rs
@@ -1,9 +1,9 @@
 //! The share of an endpoint's rate limit that this VM may use.
 //!
-//! An endpoint's limit applies to all VMs together. It is divided among a few VMs, the holders, which are chosen by an order
-//! that all VMs compute alike, those in the endpoint's own failure domain first; the other VMs send nothing. The sum thus
-//! stays within the limit however large the fleet is, and whatever VMs know of each other's work. An equal share for each VM
-//! would be less than one request per second.
+//! An endpoint's limit applies to all VMs together. It is divided among a few VMs, the holders, which are chosen by an
+//! order that all VMs compute alike, those in the endpoint's own failure domain first; the other VMs send nothing. The
+//! sum thus stays within the limit however large the fleet is, and whatever VMs know of each other's work. An equal
+//! share for each VM would be less than one request per second.
 
 use std::{
     collections::HashMap,
@@ -18,17 +18,17 @@
 
 /// Number of VMs that share an endpoint's limit.
 ///
-/// More than one, since a holder may be down before other VMs notice. If the VMs' lists of VMs differ so that an additional VM
-/// takes itself for a holder, the endpoint gets half as many requests again, which operators allow for.
+/// More than one, since a holder may be down before other VMs notice. If the VMs' lists of VMs differ so that an
+/// additional VM takes itself for a holder, the endpoint gets half as many requests again, which operators allow for.
 pub const HOLDERS: usize = 2;
 /// Highest number of requests that accumulate in a budget; a larger budget would be spent in a burst.
 const MAX_BURST: f64 = 1.0;
 
 /// Whether a VM is one of the holders of an endpoint in a holder round.
 ///
-/// `others` are the other VMs that it knows. VMs in the endpoint's failure domain rank first, since they are near the endpoint
-/// and send most of the requests to it; the first VMs of other domains stand in if there are too few. `round` is the number of
-/// times that the next holders took over because no VM reported an answer of the endpoint.
+/// `others` are the other VMs that it knows. VMs in the endpoint's failure domain rank first, since they are near the
+/// endpoint and send most of the requests to it; the first VMs of other domains stand in if there are too few. `round`
+/// is the number of times that the next holders took over because no VM reported an answer of the endpoint.
 pub fn is_holder<'a>(
     me: (&VmId, &str),
     others: impl Iterator<Item = &'a Peer> + Clone,
@@ -77,11 +77,11 @@
 }
 
 impl SendBudgets {
-    /// Time until this VM may send a request to an endpoint that accepts `per_s` requests per second from all VMs; zero if it
-    /// may send one immediately.
+    /// Time until this VM may send a request to an endpoint that accepts `per_s` requests per second from all VMs; zero
+    /// if it may send one immediately.
     ///
-    /// `is_holder` is evaluated only if `inputs` differ from those of the last call. If this VM isn't a holder, the result is
-    /// the time in which the endpoint accepts one request from the holders.
+    /// `is_holder` is evaluated only if `inputs` differ from those of the last call. If this VM isn't a holder, the
+    /// result is the time in which the endpoint accepts one request from the holders.
     pub fn time_until_ready(
         &mut self,
         endpoint: &str,
--- a/havengrade_core/src/published/send_limits.rs
+++ b/havengrade_core/src/published/send_limits.rs
@@ -1,5 +1,5 @@
-//! Rate limits on the requests that this VM sends to an endpoint: those that the endpoint states in its answers, and the one
-//! that holds while the endpoint is cold.
+//! Rate limits on the requests that this VM sends to an endpoint: those that the endpoint states in its answers, and
+//! the one that holds while the endpoint is cold.
 
 use std::time::{Duration, SystemTime};
 
@@ -10,14 +10,16 @@
     signals::{CurrentLimit, Signal, SignalChange, SignalTable},
 };
 
-/// Lowest rate at which a limited endpoint is sent requests, in requests per second: some answer must show when the endpoint
-/// lifts its limit.
+/// Lowest rate at which a limited endpoint is sent requests, in requests per second: some answer must show when the
+/// endpoint lifts its limit.
 const MIN_PER_S: f64 = 0.1;
-/// Age of the last stated limit at which the next holders take over: the current ones may be down, or have nothing to send.
+/// Age of the last stated limit at which the next holders take over: the current ones may be down, or have nothing to
+/// send.
 const HOLDER_ROUND: Duration = Duration::from_secs(10);
 /// Lowest number of requests that the limit allows within a holder round; a lower limit makes the round longer.
 const MIN_REQUESTS_PER_ROUND: f64 = 4.0;
-/// Delay before an endpoint is considered again when its holders can't be determined, since the list of VMs is not known yet.
+/// Delay before an endpoint is considered again when its holders can't be determined, since the list of VMs is not
+/// known yet.
 const PEER_LIST_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Time after which an unused send budget is dropped; a multiple of the time in which it affects any decision.
 const SEND_BUDGET_RETENTION: Duration = Duration::from_secs(60);
@@ -42,7 +44,8 @@
     pub cold_per_s: f64,
     /// Whether the endpoint may be cold although its directory entry doesn't say so.
     pub may_be_cold: bool,
-    /// Revision of the list of VMs; none if this VM doesn't know the other VMs yet and can't tell whether it is a holder.
+    /// Revision of the list of VMs; none if this VM doesn't know the other VMs yet and can't tell whether it is a
+    /// holder.
     pub vms_revision: Option<u64>,
 }
 
@@ -80,8 +83,8 @@
         if ready_in.is_zero() { Readiness::Now } else { Readiness::After(ready_in) }
     }
 
-    /// The requests per second that an endpoint accepts from all VMs together, and the current holder round; none if the
-    /// endpoint has no limit.
+    /// The requests per second that an endpoint accepts from all VMs together, and the current holder round; none if
+    /// the endpoint has no limit.
     fn rate(&self, query: SendQuery<'_>, now: SystemTime) -> Option<(f64, u64)> {
         let endpoint = query.endpoint;
         let is_cold = || query.may_be_cold || self.cold.is_cold(&endpoint.id, now);
@@ -126,8 +129,8 @@
     }
 }
 
-/// The current holder round of a limited endpoint: the round in which the limit was last stated, plus one for each full round
-/// without an answer since then.
+/// The current holder round of a limited endpoint: the round in which the limit was last stated, plus one for each full
+/// round without an answer since then.
 fn holder_round(limit: CurrentLimit) -> u64 {
     let round_s = HOLDER_ROUND.as_secs_f64().max(MIN_REQUESTS_PER_ROUND / limit.per_s.max(MIN_PER_S));
     limit.round.wrapping_add((limit.age.as_secs_f64() / round_s) as u64)
