--- a/havengrade_core/src/fingerprint.rs
+++ b/havengrade_core/src/fingerprint.rs
@@ -1,19 +1,19 @@
-//! What a request is known by over all its repeats, at every VM.
+//! Fingerprints of requests and endpoint versions, which every VM and every build computes alike.
 
 use std::hash::Hasher as _;
 
 use siphasher::sip::SipHasher13;
 
-/// What a request is known by: the same for each repeat, whichever id its caller gives it.
+/// Identifies a request by its content, so that all repeats share it whichever id the caller gives them.
 pub type RequestFingerprint = u64;
 
-/// What a version of endpoints is known by.
+/// Identifies a software version of endpoints.
 pub type VersionFingerprint = u64;
 
 /// The fingerprint of a request with these parts (path, client account, body and the like), the same in every build.
 ///
-/// It is quick and not secret: who can choose a part can choose the fingerprint. A part that others can't choose, such as the name of
-/// the client account, keeps the fingerprints of their requests apart up to chance.
+/// The hash is fast and not keyed: whoever can choose a part can produce collisions. A part that others can't choose,
+/// such as the name of the client account, keeps the fingerprints of different accounts apart except by chance.
 ///
 /// ```
 /// use havengrade_core::fingerprint::fingerprint;
--- a/havengrade_core/src/quarantine.rs
+++ b/havengrade_core/src/quarantine.rs
@@ -14,12 +14,12 @@
 };
 
 use crate::{
-    answer_history::{ANSWER_LIFE, AnswerHistory, RunKey},
+    answer_history::{ANSWER_LIFETIME, AnswerHistory, RunKey},
     crash_attribution::{CrashCause, CrashObservation, CrashObservations, find_crash_causes, is_same_crash_time},
     fingerprint::{RequestFingerprint, VersionFingerprint},
     gossip::{REPORTS_PER_ENTRY, least_reported},
     ids::EndpointId,
-    quarantine_entry::HOLD,
+    quarantine_entry::QUARANTINE_DURATION,
 };
 pub use crate::{
     quarantine_entry::{QuarantineEntry, next_trial},
@@ -231,7 +231,7 @@
         run: (RequestFingerprint, VersionFingerprint),
         now: SystemTime,
     ) -> Option<QuarantineChange> {
-        self.answered.note(run, now);
+        self.answered.record(run, now);
         let change = self.clear(run, now);
         self.released.extend(change.map(|_| run.0));
         change
@@ -239,7 +239,7 @@
 
     fn see(&mut self, fingerprint: RequestFingerprint, observation: CrashObservation, is_own: bool, now: SystemTime) {
         let run = (fingerprint, observation.version);
-        if let Some(at) = self.answered.at(&run, now) {
+        if let Some(at) = self.answered.last_answer(&run, now) {
             // Others must know that it was answered before they quarantine_suspects.
             self.cleared.entry(run).or_insert((at, 0));
         }
@@ -309,7 +309,7 @@
                 version: last.version,
                 first_crash,
                 since: now,
-                until: now + HOLD,
+                until: now + QUARANTINE_DURATION,
                 trials: 0,
                 last_trial: None,
             };
@@ -322,8 +322,8 @@
 
     fn find_crash_causes(&self, now: SystemTime) -> Vec<CrashCause> {
         let is_answered = |run: &RunKey| {
-            let told = self.cleared.get(run).is_some_and(|(at, _)| now < *at + ANSWER_LIFE);
-            told || self.answered.at(run, now).is_some()
+            let told = self.cleared.get(run).is_some_and(|(at, _)| now < *at + ANSWER_LIFETIME);
+            told || self.answered.last_answer(run, now).is_some()
         };
         find_crash_causes(&self.observations, |fingerprint| self.held.contains_key(&fingerprint), is_answered)
     }
@@ -417,7 +417,7 @@
                 version: told.version,
                 first_crash: at(told.first_crash_age),
                 since: at(told.quarantined_for),
-                until: now + told.remaining.min(HOLD),
+                until: now + told.remaining.min(QUARANTINE_DURATION),
                 trials: told.trials,
                 last_trial: told.last_trial_age.map(at),
             };
@@ -469,8 +469,10 @@
         };
         self.released.extend(kept.iter().filter(is_refuted).map(|hold| hold.fingerprint));
         let live = kept.iter().filter(|kept| now < kept.until);
-        live.filter_map(|kept| self.learn(QuarantineEntry { until: kept.until.min(now + HOLD), ..*kept }, true))
-            .collect()
+        live.filter_map(|kept| {
+            self.learn(QuarantineEntry { until: kept.until.min(now + QUARANTINE_DURATION), ..*kept }, true)
+        })
+        .collect()
     }
 
     /// Notes that another VM has handed on what is known.
--- a/havengrade_core/src/quarantine_report.rs
+++ b/havengrade_core/src/quarantine_report.rs
@@ -1,4 +1,4 @@
-//! What VMs tell each other of requests that crash endpoints.
+//! Reports between VMs about requests that crash endpoints.
 
 use std::time::{Duration, SystemTime};
 
@@ -8,69 +8,69 @@
     quarantine_entry::QuarantineEntry,
 };
 
-/// A request was in progress at an endpoint when that ended, as VMs tell each other.
+/// A request that was in progress at an endpoint when the endpoint crashed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportedCrash {
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its version.
+    /// Version of the endpoint.
     pub version: VersionFingerprint,
-    /// Time from when the request was sent there until then.
+    /// Time from sending the request to the crash.
     pub ran_for: Duration,
-    /// Time since then.
+    /// Time since the crash.
     pub age: Duration,
 }
 
-/// A request that is held back, as VMs tell each other.
+/// A quarantined request, with ages in place of times.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportedQuarantineEntry {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// Version of the last endpoint that ended under it.
+    /// Version of the last endpoint that crashed.
     pub version: VersionFingerprint,
-    /// Time since the earliest of the crashes for which it is held.
+    /// Time since the earliest crash that is attributed to the request.
     pub first_crash_age: Duration,
-    /// Time since it is held.
+    /// Time since the start of the quarantine.
     pub quarantined_for: Duration,
-    /// Time for which it is held on.
+    /// Time until the end of the quarantine.
     pub remaining: Duration,
-    /// Trials that were begun.
+    /// Number of trials that were started.
     pub trials: usize,
-    /// Time since the last of them.
+    /// Time since the start of the last trial.
     pub last_trial_age: Option<Duration>,
-    /// Whether it is known to be written where it outlasts all VMs.
+    /// Whether the entry is known to be on the stored list, which outlives all VMs.
     pub is_stored: bool,
 }
 
-/// A request that an endpoint answered as a whole, as VMs tell each other.
+/// A request that an endpoint answered completely.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportedAnswer {
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// Version of the endpoint.
     pub version: VersionFingerprint,
-    /// Time since then.
+    /// Time since the answer.
     pub age: Duration,
 }
 
-/// What a VM tells others of requests that crash endpoints.
+/// A VM's report on requests that crash endpoints.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QuarantineReport {
-    /// Crashes.
+    /// Crashes, one entry for each request that was in progress there.
     pub crashes: Vec<ReportedCrash>,
-    /// Requests that are held back.
+    /// Quarantined requests.
     pub held: Vec<ReportedQuarantineEntry>,
-    /// Requests that were answered, of those that were at crashes.
+    /// Answered requests, of those that were in progress at crashes.
     pub answered: Vec<ReportedAnswer>,
 }
 
 impl ReportedQuarantineEntry {
-    /// A request as others are told of it.
-    pub(crate) fn new(kept: &QuarantineEntry, is_stored: bool, now: SystemTime) -> Self {
+    /// The entry as it is reported at `now`.
+    pub(crate) fn new(entry: &QuarantineEntry, is_stored: bool, now: SystemTime) -> Self {
         let age = |at: SystemTime| now.duration_since(at).unwrap_or_default();
-        let QuarantineEntry { fingerprint, version, first_crash, since, until, trials, last_trial } = *kept;
+        let QuarantineEntry { fingerprint, version, first_crash, since, until, trials, last_trial } = *entry;
         Self {
             fingerprint,
             version,
