--- a/havengrade_core/src/quarantine.rs
+++ b/havengrade_core/src/quarantine.rs
@@ -1,12 +1,13 @@
-//! Requests that crash the endpoints that run them: who they are, as far as VMs know together, and that they are sent no more.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! A try that breaks says nothing by itself: connections get lost for many reasons. If its endpoint is then found to have ended, the
-//! request was at a crash. VMs tell each other of such crashes, so that each of them can tell the cause from those
-//! that only were there, whichever VMs sent them. A request that an endpoint answers as a whole has crashed none: what was seen
-//! before counts no more.
+//! A failed attempt alone is no evidence: connections are lost for many reasons. If its endpoint is then found to
+//! have exited, the request was in progress at a crash. VMs report such crashes to each other, so that each of them
+//! can tell the cause from requests that merely were in progress, whichever VMs sent them. A request that an endpoint
+//! answers completely has caused no crash, and earlier observations of it are dropped.
 //!
-//! A request that comes often is in progress at many endpoints, so that it may be held back although others were the cause. So each
-//! one that is held is last_trial a few times more, one VM at a time for all of them, and is free again once an endpoint answers it.
+//! A frequent request is in progress at many endpoints, so that it may be quarantined although others were the cause.
+//! Each quarantined request therefore gets a few trials, one VM and one request at a time, and is released once an
+//! endpoint answers it.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -26,57 +27,59 @@
     quarantine_report::{QuarantineReport, ReportedAnswer, ReportedCrash, ReportedQuarantineEntry},
 };
 
-/// Time since the last crash of a request after which it is judged. Until then it waits where enough is known of it, since what other
-/// VMs saw of the crash, which may name another cause, is on its way: two reports, and as much again for lost ones.
-const SETTLE: Duration = Duration::from_millis(1000);
-/// Time without any crash after which a request is last_trial: while other causes are at work, an innocent one would fail.
-const CALM: Duration = Duration::from_millis(1500);
-/// Time for which a crash counts against a request that comes rarely.
-const SIGHT_LIFE: Duration = Duration::from_secs(3600);
-/// Time from a try that breaks until its endpoint is known to have ended; a look takes as long as a connection may.
-const BROKEN_LIFE: Duration = Duration::from_secs(3);
-/// Time from when a try is given up until which the end of its endpoint is its crash: the endpoint runs it until it finds that nobody waits.
-const LEFT_LIFE: Duration = Duration::from_millis(500);
-/// Crashes that are remembered; the oldest ones give way.
-const MAX_SIGHTS: usize = 2048;
-/// Crashes that a VM which starts is told of.
-const MAX_HANDED: usize = 96;
-
-/// What may be done with a request.
+/// Time after the last crash of a suspect before it is quarantined. Reports of other VMs on that crash, which may
+/// point to another cause, arrive within it: it covers two reports, and as many again if some are lost.
+const SETTLE_TIME: Duration = Duration::from_millis(1000);
+/// Time without any crash that must pass before a trial: a harmless request would fail while other causes are active.
+const CALM_BEFORE_TRIAL: Duration = Duration::from_millis(1500);
+/// Time for which a crash counts against a request, chosen for requests that come rarely.
+const OBSERVATION_LIFETIME: Duration = Duration::from_secs(3600);
+/// Time after a failed attempt within which its endpoint may be found to have exited; a probe takes as long as a
+/// connection may.
+const FAILED_ATTEMPT_LIFETIME: Duration = Duration::from_secs(3);
+/// Time after an abandoned attempt within which an exit of its endpoint is attributed to it: the endpoint keeps
+/// running the request until it notices that nobody waits.
+const ABANDONED_ATTEMPT_LIFETIME: Duration = Duration::from_millis(500);
+/// Crash observations that are kept; the oldest ones are evicted.
+const MAX_OBSERVATIONS: usize = 2048;
+/// Crashes, and answers, in a state transfer to a VM that starts.
+const MAX_TRANSFERRED: usize = 96;
+
+/// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// It may be sent.
+    /// The request may be sent.
     Free,
-    /// It is about to be known whether it may be sent: what other VMs saw is on its way, or it is being last_trial.
+    /// The decision is pending: reports of other VMs are in transit, or a trial is running.
     Pending {
-        /// Time until then, unless more is seen.
+        /// Time until the decision, unless further crashes are observed.
         decided_in: Duration,
     },
-    /// It is held back.
+    /// The request must not be sent.
     Quarantined {
-        /// Time after which it may come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
-    /// It is held back, and is to be last_trial once more by whichever VM is the first to write so.
+    /// The request is quarantined and a trial is due, for the first VM that claims it.
     TrialDue(QuarantineEntry),
 }
 
-/// A change of what is known of a request.
+/// A change to the quarantine of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineChange {
-    /// It is held back by this VM's judgement.
+    /// This VM quarantined the request.
     Quarantined {
         /// The request.
         fingerprint: RequestFingerprint,
-        /// Crashes that it was at.
+        /// Number of crashes that are attributed to it.
         crashes: usize,
     },
-    /// It is held back, as another VM or the kept list tells.
+    /// Another VM or the stored list quarantined the request.
     Learned {
         /// The request.
         fingerprint: RequestFingerprint,
     },
-    /// It is held back no longer, since an endpoint answered it.
+    /// The request was released, since an endpoint answered it.
     Released {
         /// The request.
         fingerprint: RequestFingerprint,
@@ -84,56 +87,57 @@
 }
 
 #[derive(Clone, Debug)]
-struct Hold {
-    kept: QuarantineEntry,
+struct EntryState {
+    entry: QuarantineEntry,
     is_stored: bool,
-    told: u32,
+    report_count: u32,
 }
 
-/// A try that broke or was given up.
+/// A failed or abandoned attempt.
 #[derive(Clone, Debug)]
-struct Broken {
+struct SuspectAttempt {
     fingerprint: RequestFingerprint,
     observation: CrashObservation,
-    /// Until when the end of its endpoint is its crash.
+    /// Time until which an exit of the endpoint is attributed to the request.
     until: SystemTime,
 }
 
-/// What is known of requests that crash endpoints.
+/// The quarantined requests, and the evidence on crashes.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-    /// Tries that broke or were given up lately, at endpoints of which it is not known whether they ended.
-    broken: HashMap<EndpointId, Vec<Broken>>,
-    /// Endpoints that ended lately.
-    ended: HashMap<EndpointId, SystemTime>,
-    /// Requests that were at crashes.
+    /// Recently failed or abandoned attempts, at endpoints that are not known to have exited.
+    open_attempts: HashMap<EndpointId, Vec<SuspectAttempt>>,
+    /// Endpoints that exited recently.
+    exited: HashMap<EndpointId, SystemTime>,
+    /// Observed crashes by request.
     observations: CrashObservations,
-    /// The last crash of any.
+    /// Time of the last crash of any endpoint.
     last_crash: Option<SystemTime>,
-    /// How often each crash was told, by request and endpoint; own ones, and those of requests that were at several.
-    tellings: HashMap<(RequestFingerprint, EndpointId), u32>,
-    held: HashMap<RequestFingerprint, Hold>,
-    /// Requests that wait until what others saw has come in, and when that will be.
+    /// Number of reports on each crash, by request and endpoint; holds the own crashes, and those of requests that
+    /// have several.
+    report_counts: HashMap<(RequestFingerprint, EndpointId), u32>,
+    quarantined: HashMap<RequestFingerprint, EntryState>,
+    /// Requests whose quarantine awaits reports of other VMs, with the time of the decision.
     suspects: HashMap<RequestFingerprint, SystemTime>,
-    /// Requests that an answer at this VM released, and that are still on the list that outlasts all VMs.
+    /// Requests that an answer at this VM released and that may still be on the stored list.
     released: HashSet<RequestFingerprint>,
-    /// The last answers that this VM saw.
+    /// Recent answers that this VM received.
     answered: AnswerHistory,
-    /// Answers to requests that were at crashes, when, and how often that was told.
+    /// Answers to requests that were in progress at crashes, each with its time and the number of reports on it.
     cleared: HashMap<RunKey, (SystemTime, u32)>,
-    /// Whether what is kept of before the start is known.
+    /// Whether the entries from before the start are known.
     is_loaded: bool,
-    /// Whether crashes or answers came to be known since the last judgement.
+    /// Whether crashes or answers became known since suspects were last evaluated.
     is_changed: bool,
 }
 
 impl Quarantine {
-    /// Whether any request is known, so that fingerprints must be worked out.
+    /// Whether any request is known, so that fingerprints must be computed.
     pub fn needs_fingerprints(&self) -> bool {
-        !self.observations.is_empty() || !self.held.is_empty()
+        !self.observations.is_empty() || !self.quarantined.is_empty()
     }
 
-    /// What may be done with a request.
+    /// Whether a request may be sent.
     ///
     /// ```
     /// use std::time::{Duration, SystemTime};
@@ -152,35 +156,35 @@
     /// assert_eq!(quarantine.status(8, at(15)), QuarantineStatus::Free);
     /// ```
     pub fn status(&self, fingerprint: RequestFingerprint, now: SystemTime) -> QuarantineStatus {
-        let Some(hold) = self.held.get(&fingerprint).filter(|hold| now < hold.kept.until) else {
+        let Some(state) = self.quarantined.get(&fingerprint).filter(|state| now < state.entry.until) else {
             let Some(settled) = self.suspects.get(&fingerprint) else { return QuarantineStatus::Free };
             return QuarantineStatus::Pending { decided_in: settled.duration_since(now).unwrap_or_default() };
         };
-        if let Some(left) = hold.kept.trial_left(now) {
+        if let Some(left) = state.entry.trial_left(now) {
             return QuarantineStatus::Pending { decided_in: left };
         }
-        let calm = self.last_crash.map_or(SystemTime::UNIX_EPOCH, |at| at + CALM);
+        let calm = self.last_crash.map_or(SystemTime::UNIX_EPOCH, |at| at + CALM_BEFORE_TRIAL);
         let until = |at: SystemTime| at.duration_since(now).ok().filter(|left| !left.is_zero());
-        match hold.kept.next_trial_at().map(|at| until(at.max(calm))) {
-            Some(None) => QuarantineStatus::TrialDue(hold.kept),
+        match state.entry.next_trial_at().map(|at| until(at.max(calm))) {
+            Some(None) => QuarantineStatus::TrialDue(state.entry),
             Some(Some(left)) => QuarantineStatus::Pending { decided_in: left },
             None => {
-                QuarantineStatus::Quarantined { retry_after: hold.kept.until.duration_since(now).unwrap_or_default() }
+                QuarantineStatus::Quarantined { retry_after: state.entry.until.duration_since(now).unwrap_or_default() }
             },
         }
     }
 
-    /// Notes how many trials of a request were begun, and when the last one was.
+    /// Records the number of started trials of a request, and the start of the last one.
     pub fn record_trials(&mut self, fingerprint: RequestFingerprint, trials: usize, last_trial: Option<SystemTime>) {
-        if let Some(hold) = self.held.get_mut(&fingerprint).filter(|hold| hold.kept.trials < trials) {
-            hold.kept.trials = trials;
-            hold.kept.last_trial = last_trial;
-            hold.told = 0;
+        if let Some(state) = self.quarantined.get_mut(&fingerprint).filter(|state| state.entry.trials < trials) {
+            state.entry.trials = trials;
+            state.entry.last_trial = last_trial;
+            state.report_count = 0;
         }
     }
 
-    /// Notes that a try of a request broke, `ran_for` after it was sent to an endpoint of a version; of that endpoint it may be known that it
-    /// has ended.
+    /// Records that an attempt failed `ran_for` after it was sent to an endpoint of a version. The endpoint may
+    /// already be known to have exited.
     pub fn record_broken_attempt(
         &mut self,
         (fingerprint, version): (RequestFingerprint, VersionFingerprint),
@@ -189,15 +193,16 @@
         now: SystemTime,
     ) {
         let observation = CrashObservation { endpoint: endpoint.to_owned(), version, ran_for, at: now };
-        if self.ended.get(endpoint).is_some_and(|ended| is_same_crash_time(*ended, now)) {
-            self.see(fingerprint, observation, true, now);
+        if self.exited.get(endpoint).is_some_and(|exited| is_same_crash_time(*exited, now)) {
+            self.add_observation(fingerprint, observation, true, now);
         } else {
-            let broken = Broken { fingerprint, observation, until: now + BROKEN_LIFE };
-            self.broken.entry(endpoint.to_owned()).or_default().push(broken);
+            let attempt = SuspectAttempt { fingerprint, observation, until: now + FAILED_ATTEMPT_LIFETIME };
+            self.open_attempts.entry(endpoint.to_owned()).or_default().push(attempt);
         }
     }
 
-    /// Notes that a try of a request was given up, `ran_for` after it was sent, while the endpoint may have been at work on it.
+    /// Records that an attempt was abandoned `ran_for` after it was sent, while the endpoint may still have been
+    /// running it.
     pub fn record_abandoned_attempt(
         &mut self,
         (fingerprint, version): (RequestFingerprint, VersionFingerprint),
@@ -206,76 +211,85 @@
         now: SystemTime,
     ) {
         let observation = CrashObservation { endpoint: endpoint.to_owned(), version, ran_for, at: now };
-        let left = Broken { fingerprint, observation, until: now + LEFT_LIFE };
-        self.broken.entry(endpoint.to_owned()).or_default().push(left);
+        let attempt = SuspectAttempt { fingerprint, observation, until: now + ABANDONED_ATTEMPT_LIFETIME };
+        self.open_attempts.entry(endpoint.to_owned()).or_default().push(attempt);
     }
 
-    /// Notes that an endpoint has ended; the tries that broke there lately were at its crash.
+    /// Records that an endpoint exited; recently failed attempts there were in progress at its crash.
     pub fn record_endpoint_exit(&mut self, endpoint: &str, now: SystemTime) {
-        self.ended.insert(endpoint.to_owned(), now);
-        for Broken { fingerprint, observation, until } in self.broken.remove(endpoint).unwrap_or_default() {
+        self.exited.insert(endpoint.to_owned(), now);
+        for SuspectAttempt { fingerprint, observation, until } in
+            self.open_attempts.remove(endpoint).unwrap_or_default()
+        {
             if now < until {
-                self.see(fingerprint, observation, true, now);
+                self.add_observation(fingerprint, observation, true, now);
             }
         }
     }
 
-    /// Notes that an endpoint where tries broke is there: its connections were lost, and nothing more.
+    /// Records that an endpoint is alive: attempts that failed there only lost their connections.
     pub fn record_endpoint_alive(&mut self, endpoint: &str) {
-        self.broken.remove(endpoint);
+        self.open_attempts.remove(endpoint);
     }
 
-    /// Notes that an endpoint of a version answered a request as a whole; gives what changes by it.
+    /// Records that an endpoint of a version answered a request completely; returns the change that follows.
     pub fn record_answer(
         &mut self,
         run: (RequestFingerprint, VersionFingerprint),
         now: SystemTime,
     ) -> Option<QuarantineChange> {
         self.answered.record(run, now);
-        let change = self.clear(run, now);
+        let change = self.apply_answer(run, now);
         self.released.extend(change.map(|_| run.0));
         change
     }
 
-    fn see(&mut self, fingerprint: RequestFingerprint, observation: CrashObservation, is_own: bool, now: SystemTime) {
+    fn add_observation(
+        &mut self,
+        fingerprint: RequestFingerprint,
+        observation: CrashObservation,
+        is_own: bool,
+        now: SystemTime,
+    ) {
         let run = (fingerprint, observation.version);
         if let Some(at) = self.answered.last_answer(&run, now) {
-            // Others must know that it was answered before they quarantine_suspects.
+            // Other VMs must know of the answer before they evaluate the request.
             self.cleared.entry(run).or_insert((at, 0));
         }
         if self.cleared.get(&run).is_some_and(|(at, _)| observation.at <= *at) {
             return;
         }
-        let seen = self.observations.entry(fingerprint).or_default();
-        if seen.iter().any(|known| known.is_same_crash(&observation)) {
+        let observations = self.observations.entry(fingerprint).or_default();
+        if observations.iter().any(|known| known.is_same_crash(&observation)) {
             return;
         }
         self.last_crash = self.last_crash.max(Some(observation.at));
-        seen.push(observation);
+        observations.push(observation);
         self.is_changed = true;
-        // Others pass on only what adds up; what the first VM tells reaches enough of them.
-        if is_own || seen.len() > 1 {
-            let newest = seen.last().map(|observation| (fingerprint, observation.endpoint.clone()));
-            self.tellings.extend(newest.map(|key| (key, 0)));
-            for earlier in seen.iter() {
-                self.tellings.entry((fingerprint, earlier.endpoint.clone())).or_insert(0);
+        // Crashes of other VMs are relayed only if the request has several; the reports of the first VM reach enough
+        // others.
+        if is_own || observations.len() > 1 {
+            let newest = observations.last().map(|observation| (fingerprint, observation.endpoint.clone()));
+            self.report_counts.extend(newest.map(|key| (key, 0)));
+            for earlier in observations.iter() {
+                self.report_counts.entry((fingerprint, earlier.endpoint.clone())).or_insert(0);
             }
         }
     }
 
-    fn clear(&mut self, run: RunKey, at: SystemTime) -> Option<QuarantineChange> {
+    fn apply_answer(&mut self, run: RunKey, at: SystemTime) -> Option<QuarantineChange> {
         let (fingerprint, version) = run;
         let is_known = match self.observations.get_mut(&fingerprint) {
-            Some(seen) => {
+            Some(observations) => {
                 self.is_changed = true;
-                seen.retain(|observation| observation.version != version || observation.at > at);
+                observations.retain(|observation| observation.version != version || observation.at > at);
                 true
             },
             None => false,
         };
-        self.observations.retain(|_, seen| !seen.is_empty());
-        let refutes = |hold: &Hold| hold.kept.version == version && hold.kept.first_crash <= at;
-        let is_refuted = self.held.get(&fingerprint).is_some_and(refutes);
+        self.observations.retain(|_, observations| !observations.is_empty());
+        let refutes = |state: &EntryState| state.entry.version == version && state.entry.first_crash <= at;
+        let is_refuted = self.quarantined.get(&fingerprint).is_some_and(refutes);
         if !is_known && !is_refuted {
             return None;
         }
@@ -286,11 +300,12 @@
         if !is_refuted {
             return None;
         }
-        self.held.remove(&fingerprint);
+        self.quarantined.remove(&fingerprint);
         Some(QuarantineChange::Released { fingerprint })
     }
 
-    /// Holds back the requests that explain crashes, once what others saw is known; gives those that were not held before.
+    /// Quarantines the requests to which crashes are attributed, once reports of other VMs have had time to arrive;
+    /// returns the new ones.
     pub fn quarantine_suspects(&mut self, now: SystemTime) -> Vec<QuarantineChange> {
         let mut changes = Vec::new();
         if !std::mem::take(&mut self.is_changed) && self.suspects.is_empty() {
@@ -299,12 +314,12 @@
         self.suspects.clear();
         for CrashCause { fingerprint, crashes } in self.find_crash_causes(now) {
             let Some(last) = crashes.iter().max_by_key(|observation| observation.at) else { continue };
-            if now < last.at + SETTLE {
-                self.suspects.insert(fingerprint, last.at + SETTLE);
+            if now < last.at + SETTLE_TIME {
+                self.suspects.insert(fingerprint, last.at + SETTLE_TIME);
                 continue;
             }
             let first_crash = crashes.iter().map(|observation| observation.at).min().unwrap_or(now);
-            let kept = QuarantineEntry {
+            let entry = QuarantineEntry {
                 fingerprint,
                 version: last.version,
                 first_crash,
@@ -314,7 +329,7 @@
                 last_trial: None,
             };
             self.released.remove(&fingerprint);
-            self.held.insert(fingerprint, Hold { kept, is_stored: false, told: 0 });
+            self.quarantined.insert(fingerprint, EntryState { entry, is_stored: false, report_count: 0 });
             changes.push(QuarantineChange::Quarantined { fingerprint, crashes: crashes.len() });
         }
         changes
@@ -322,39 +337,41 @@
 
     fn find_crash_causes(&self, now: SystemTime) -> Vec<CrashCause> {
         let is_answered = |run: &RunKey| {
-            let told = self.cleared.get(run).is_some_and(|(at, _)| now < *at + ANSWER_LIFETIME);
-            told || self.answered.last_answer(run, now).is_some()
+            let is_cleared = self.cleared.get(run).is_some_and(|(at, _)| now < *at + ANSWER_LIFETIME);
+            is_cleared || self.answered.last_answer(run, now).is_some()
         };
-        find_crash_causes(&self.observations, |fingerprint| self.held.contains_key(&fingerprint), is_answered)
+        find_crash_causes(&self.observations, |fingerprint| self.quarantined.contains_key(&fingerprint), is_answered)
     }
 
-    /// Whether a request waits to be judged.
+    /// Whether the decision on any request is pending.
     pub fn has_suspects(&self) -> bool {
         !self.suspects.is_empty()
     }
 
-    /// Whether others are to be told of something at once.
+    /// Whether anything has not been reported to other VMs yet.
     pub fn has_unreported(&self) -> bool {
-        self.tellings.values().any(|told| *told == 0)
-            || self.held.values().any(|hold| hold.told == 0)
-            || self.cleared.values().any(|(_, told)| *told == 0)
+        self.report_counts.values().any(|report_count| *report_count == 0)
+            || self.quarantined.values().any(|state| state.report_count == 0)
+            || self.cleared.values().any(|(_, report_count)| *report_count == 0)
     }
 
-    /// What the next report tells: what is new a few times, and the rest in turn.
+    /// The next report. New entries appear in several reports, the others in turn.
     pub fn next_report(&mut self, now: SystemTime) -> QuarantineReport {
         let age = |at: SystemTime| now.duration_since(at).unwrap_or_default();
-        let mut news = QuarantineReport::default();
-        for fingerprint in least_reported(self.held.iter().map(|(fingerprint, hold)| (*fingerprint, hold.told))) {
-            let Some(hold) = self.held.get_mut(&fingerprint) else { continue };
-            hold.told += 1;
-            news.held.push(ReportedQuarantineEntry::new(&hold.kept, hold.is_stored, now));
+        let mut report = QuarantineReport::default();
+        for fingerprint in
+            least_reported(self.quarantined.iter().map(|(fingerprint, state)| (*fingerprint, state.report_count)))
+        {
+            let Some(state) = self.quarantined.get_mut(&fingerprint) else { continue };
+            state.report_count += 1;
+            report.held.push(ReportedQuarantineEntry::new(&state.entry, state.is_stored, now));
         }
-        for key in least_reported(self.tellings.iter().map(|(key, told)| (key.clone(), *told))) {
-            self.tellings.entry(key.clone()).and_modify(|told| *told += 1);
+        for key in least_reported(self.report_counts.iter().map(|(key, report_count)| (key.clone(), *report_count))) {
+            self.report_counts.entry(key.clone()).and_modify(|report_count| *report_count += 1);
             let (fingerprint, endpoint) = key;
-            let seen = self.observations.get(&fingerprint).into_iter().flatten();
-            let of_endpoint = seen.filter(|observation| observation.endpoint == endpoint);
-            news.crashes.extend(of_endpoint.map(|observation| ReportedCrash {
+            let observations = self.observations.get(&fingerprint).into_iter().flatten();
+            let of_endpoint = observations.filter(|observation| observation.endpoint == endpoint);
+            report.crashes.extend(of_endpoint.map(|observation| ReportedCrash {
                 fingerprint,
                 endpoint: endpoint.clone(),
                 version: observation.version,
@@ -362,19 +379,20 @@
                 age: age(observation.at),
             }));
         }
-        for run in least_reported(self.cleared.iter().map(|(run, (_, told))| (*run, *told))) {
-            let Some((at, told)) = self.cleared.get_mut(&run) else { continue };
-            *told += 1;
-            news.answered.push(ReportedAnswer { fingerprint: run.0, version: run.1, age: age(*at) });
+        for run in least_reported(self.cleared.iter().map(|(run, (_, report_count))| (*run, *report_count))) {
+            let Some((at, report_count)) = self.cleared.get_mut(&run) else { continue };
+            *report_count += 1;
+            report.answered.push(ReportedAnswer { fingerprint: run.0, version: run.1, age: age(*at) });
         }
-        news
+        report
     }
 
-    /// What a VM that starts is told: all that is held, and the newest crashes; none before this VM knows what is kept itself.
+    /// The state transfer for a VM that starts: all quarantined requests, and the latest crashes. None before this VM
+    /// has loaded the entries from before its own start.
     pub fn full_report(&self, now: SystemTime) -> Option<QuarantineReport> {
         let age = |at: SystemTime| now.duration_since(at).unwrap_or_default();
-        let crashes = self.observations.iter().flat_map(|(fingerprint, seen)| {
-            seen.iter().map(|observation| ReportedCrash {
+        let crashes = self.observations.iter().flat_map(|(fingerprint, observations)| {
+            observations.iter().map(|observation| ReportedCrash {
                 fingerprint: *fingerprint,
                 endpoint: observation.endpoint.clone(),
                 version: observation.version,
@@ -384,163 +402,173 @@
         });
         let mut crashes: Vec<ReportedCrash> = crashes.collect();
         crashes.sort_by_key(|crash| crash.age);
-        crashes.truncate(MAX_HANDED);
-        let held =
-            self.held.values().map(|hold| ReportedQuarantineEntry::new(&hold.kept, hold.is_stored, now)).collect();
+        crashes.truncate(MAX_TRANSFERRED);
+        let held = self
+            .quarantined
+            .values()
+            .map(|state| ReportedQuarantineEntry::new(&state.entry, state.is_stored, now))
+            .collect();
         let answered = self.cleared.iter();
         let answered = answered.map(|((fingerprint, version), (at, _))| ReportedAnswer {
             fingerprint: *fingerprint,
             version: *version,
             age: age(*at),
         });
-        self.is_loaded.then(|| QuarantineReport { crashes, held, answered: answered.take(MAX_HANDED).collect() })
+        self.is_loaded.then(|| QuarantineReport { crashes, held, answered: answered.take(MAX_TRANSFERRED).collect() })
     }
 
-    /// Takes what another VM tells; gives what changes by it.
-    pub fn merge_report(&mut self, news: QuarantineReport, now: SystemTime) -> Vec<QuarantineChange> {
+    /// Merges the report of another VM; returns the changes.
+    pub fn merge_report(&mut self, report: QuarantineReport, now: SystemTime) -> Vec<QuarantineChange> {
         let at = |age: Duration| now.checked_sub(age).unwrap_or(SystemTime::UNIX_EPOCH);
-        let mut changes: Vec<QuarantineChange> = news
+        let mut changes: Vec<QuarantineChange> = report
             .answered
             .iter()
-            .filter_map(|told| self.hear_answer((told.fingerprint, told.version), at(told.age)))
+            .filter_map(|reported| {
+                self.apply_reported_answer((reported.fingerprint, reported.version), at(reported.age))
+            })
             .collect();
         for ReportedCrash { fingerprint, endpoint, version, ran_for, age } in
-            news.crashes.into_iter().filter(|told| told.age < SIGHT_LIFE)
+            report.crashes.into_iter().filter(|reported| reported.age < OBSERVATION_LIFETIME)
         {
             let observation = CrashObservation { endpoint, version, ran_for, at: at(age) };
-            self.hear_end(&observation, now);
-            self.see(fingerprint, observation, false, now);
+            self.apply_reported_crash(&observation, now);
+            self.add_observation(fingerprint, observation, false, now);
         }
-        for told in news.held {
-            let kept = QuarantineEntry {
-                fingerprint: told.fingerprint,
-                version: told.version,
-                first_crash: at(told.first_crash_age),
-                since: at(told.quarantined_for),
-                until: now + told.remaining.min(QUARANTINE_DURATION),
-                trials: told.trials,
-                last_trial: told.last_trial_age.map(at),
+        for reported in report.held {
+            let entry = QuarantineEntry {
+                fingerprint: reported.fingerprint,
+                version: reported.version,
+                first_crash: at(reported.first_crash_age),
+                since: at(reported.quarantined_for),
+                until: now + reported.remaining.min(QUARANTINE_DURATION),
+                trials: reported.trials,
+                last_trial: reported.last_trial_age.map(at),
             };
-            changes.extend(self.learn(kept, told.is_stored));
+            changes.extend(self.merge_entry(entry, reported.is_stored));
         }
         changes.extend(self.quarantine_suspects(now));
         changes
     }
 
-    /// Takes it from another VM that an endpoint ended: tries that this VM gave up there just before were at that crash.
-    fn hear_end(&mut self, told: &CrashObservation, now: SystemTime) {
-        let Some(tries) = self.broken.get_mut(&told.endpoint) else { return };
-        let is_left = |broken: &mut Broken| broken.observation.at <= told.at && told.at < broken.until;
-        let at_crash: Vec<Broken> = tries.extract_if(.., is_left).collect();
-        for Broken { fingerprint, observation, .. } in at_crash {
-            self.see(fingerprint, observation, true, now);
+    /// Applies a crash that another VM reported: attempts that this VM abandoned there just before were in progress
+    /// at that crash.
+    fn apply_reported_crash(&mut self, reported: &CrashObservation, now: SystemTime) {
+        let Some(attempts) = self.open_attempts.get_mut(&reported.endpoint) else { return };
+        let is_at_crash =
+            |attempt: &mut SuspectAttempt| attempt.observation.at <= reported.at && reported.at < attempt.until;
+        let at_crash: Vec<SuspectAttempt> = attempts.extract_if(.., is_at_crash).collect();
+        for SuspectAttempt { fingerprint, observation, .. } in at_crash {
+            self.add_observation(fingerprint, observation, true, now);
         }
     }
 
-    /// Takes an answer that another VM saw, also of a request of which no crash is known here yet.
-    fn hear_answer(&mut self, run: RunKey, at: SystemTime) -> Option<QuarantineChange> {
-        let change = self.clear(run, at);
+    /// Applies an answer that another VM reported, also for a request without known crashes.
+    fn apply_reported_answer(&mut self, run: RunKey, at: SystemTime) -> Option<QuarantineChange> {
+        let change = self.apply_answer(run, at);
         self.cleared.entry(run).or_insert((at, REPORTS_PER_ENTRY));
         change
     }
 
-    fn learn(&mut self, told: QuarantineEntry, is_stored: bool) -> Option<QuarantineChange> {
-        let fingerprint = told.fingerprint;
-        if self.cleared.get(&(fingerprint, told.version)).is_some_and(|(at, _)| told.first_crash <= *at) {
+    fn merge_entry(&mut self, reported: QuarantineEntry, is_stored: bool) -> Option<QuarantineChange> {
+        let fingerprint = reported.fingerprint;
+        if self.cleared.get(&(fingerprint, reported.version)).is_some_and(|(at, _)| reported.first_crash <= *at) {
             return None;
         }
-        if let Some(known) = self.held.get_mut(&fingerprint) {
+        if let Some(known) = self.quarantined.get_mut(&fingerprint) {
             known.is_stored |= is_stored;
-            // All VMs go by the first of them that held it.
-            known.kept.since = known.kept.since.min(told.since);
-            self.record_trials(fingerprint, told.trials, told.last_trial);
+            // All VMs use the earliest start of the quarantine.
+            known.entry.since = known.entry.since.min(reported.since);
+            self.record_trials(fingerprint, reported.trials, reported.last_trial);
             return None;
         }
-        self.held.insert(fingerprint, Hold { kept: told, is_stored, told: 0 });
+        self.quarantined.insert(fingerprint, EntryState { entry: reported, is_stored, report_count: 0 });
         Some(QuarantineChange::Learned { fingerprint })
     }
 
-    /// Takes what is kept of before the start; gives what changes by it. What an endpoint has answered since is to be taken off the list.
-    pub fn merge_stored(&mut self, kept: &[QuarantineEntry], now: SystemTime) -> Vec<QuarantineChange> {
+    /// Merges the stored list; returns the changes. Entries that an answer has refuted are to be removed from the list.
+    pub fn merge_stored(&mut self, entries: &[QuarantineEntry], now: SystemTime) -> Vec<QuarantineChange> {
         self.is_loaded = true;
-        let is_refuted = |hold: &&QuarantineEntry| {
-            let answered = self.cleared.get(&(hold.fingerprint, hold.version));
-            answered.is_some_and(|(at, _)| hold.first_crash <= *at) && !self.held.contains_key(&hold.fingerprint)
+        let is_refuted = |stored: &&QuarantineEntry| {
+            let answered = self.cleared.get(&(stored.fingerprint, stored.version));
+            answered.is_some_and(|(at, _)| stored.first_crash <= *at)
+                && !self.quarantined.contains_key(&stored.fingerprint)
         };
-        self.released.extend(kept.iter().filter(is_refuted).map(|hold| hold.fingerprint));
-        let live = kept.iter().filter(|kept| now < kept.until);
-        live.filter_map(|kept| {
-            self.learn(QuarantineEntry { until: kept.until.min(now + QUARANTINE_DURATION), ..*kept }, true)
+        self.released.extend(entries.iter().filter(is_refuted).map(|stored| stored.fingerprint));
+        let live = entries.iter().filter(|stored| now < stored.until);
+        live.filter_map(|stored| {
+            self.merge_entry(QuarantineEntry { until: stored.until.min(now + QUARANTINE_DURATION), ..*stored }, true)
         })
         .collect()
     }
 
-    /// Notes that another VM has handed on what is known.
+    /// Records that another VM has transferred its state.
     pub fn set_loaded(&mut self) {
         self.is_loaded = true;
     }
 
-    /// Whether what is kept of before the start is known.
+    /// Whether the entries from before the start are known.
     pub fn is_loaded(&self) -> bool {
         self.is_loaded
     }
 
-    /// Requests that are held back and are not known to be kept where that outlasts all VMs.
+    /// Quarantined requests that are not known to be on the stored list, which outlives all VMs.
     pub fn unstored(&self) -> Vec<QuarantineEntry> {
-        self.held.values().filter(|hold| !hold.is_stored).map(|hold| hold.kept).collect()
+        self.quarantined.values().filter(|state| !state.is_stored).map(|state| state.entry).collect()
     }
 
-    /// Notes that a request is kept as held back.
+    /// Records that the entry of a request is on the stored list.
     pub fn set_stored(&mut self, fingerprint: RequestFingerprint) {
-        if let Some(hold) = self.held.get_mut(&fingerprint) {
-            hold.is_stored = true;
-            hold.told = 0;
+        if let Some(state) = self.quarantined.get_mut(&fingerprint) {
+            state.is_stored = true;
+            state.report_count = 0;
         }
     }
 
-    /// All requests that are held back.
+    /// All quarantined requests.
     pub fn entries(&self) -> Vec<QuarantineEntry> {
-        self.held.values().map(|hold| hold.kept).collect()
+        self.quarantined.values().map(|state| state.entry).collect()
     }
 
-    /// Requests to take off the list that outlasts all VMs, so that a start of all of them does not hold them back again.
+    /// Requests to remove from the stored list, so that a restart of all VMs does not quarantine them again.
     pub fn released(&self) -> Vec<RequestFingerprint> {
         self.released.iter().copied().collect()
     }
 
-    /// Notes that a request is off that list.
+    /// Records that a request is no longer on the stored list.
     pub fn set_removed(&mut self, fingerprint: RequestFingerprint) {
         self.released.remove(&fingerprint);
     }
 
-    /// Forgets what is too old to count.
+    /// Drops entries and evidence that are too old to count.
     pub fn prune(&mut self, now: SystemTime) {
-        self.broken.retain(|_, tries| {
-            tries.retain(|broken| now < broken.until);
-            !tries.is_empty()
+        self.open_attempts.retain(|_, attempts| {
+            attempts.retain(|attempt| now < attempt.until);
+            !attempts.is_empty()
         });
-        self.ended.retain(|_, at| now < *at + BROKEN_LIFE);
-        self.held.retain(|_, hold| now < hold.kept.until);
-        self.cleared.retain(|_, (at, _)| now < *at + SIGHT_LIFE);
-        let kept_since = self.oldest_kept(now);
-        self.observations.retain(|_, seen| {
-            seen.retain(|observation| observation.at > kept_since);
-            !seen.is_empty()
+        self.exited.retain(|_, at| now < *at + FAILED_ATTEMPT_LIFETIME);
+        self.quarantined.retain(|_, state| now < state.entry.until);
+        self.cleared.retain(|_, (at, _)| now < *at + OBSERVATION_LIFETIME);
+        let cutoff = self.eviction_cutoff(now);
+        self.observations.retain(|_, observations| {
+            observations.retain(|observation| observation.at > cutoff);
+            !observations.is_empty()
         });
         let observations = &self.observations;
-        self.tellings.retain(|(fingerprint, endpoint), _| {
+        self.report_counts.retain(|(fingerprint, endpoint), _| {
             observations
                 .get(fingerprint)
-                .is_some_and(|seen| seen.iter().any(|observation| observation.endpoint == *endpoint))
+                .is_some_and(|observations| observations.iter().any(|observation| observation.endpoint == *endpoint))
         });
     }
 
-    /// The time before which crashes are forgotten, by their age or since there are too many.
-    fn oldest_kept(&self, now: SystemTime) -> SystemTime {
-        let by_age = now.checked_sub(SIGHT_LIFE).unwrap_or(SystemTime::UNIX_EPOCH);
+    /// The time up to which crashes are dropped, because of their age or because there are too many.
+    fn eviction_cutoff(&self, now: SystemTime) -> SystemTime {
+        let by_age = now.checked_sub(OBSERVATION_LIFETIME).unwrap_or(SystemTime::UNIX_EPOCH);
         let mut times: Vec<SystemTime> =
             self.observations.values().flatten().map(|observation| observation.at).collect();
-        let Some(excess) = times.len().checked_sub(MAX_SIGHTS).filter(|excess| *excess > 0) else { return by_age };
+        let Some(excess) = times.len().checked_sub(MAX_OBSERVATIONS).filter(|excess| *excess > 0) else {
+            return by_age;
+        };
         let (_, newest_forgotten, _) = times.select_nth_unstable(excess - 1);
         by_age.max(*newest_forgotten)
     }
