--- a/havengrade_core/src/published/position.rs
+++ b/havengrade_core/src/published/position.rs
@@ -1,12 +1,12 @@
-//! Positions in the store: an offset, and the era of the store in which it was given out.
+//! Positions in the store: an offset together with the era in which the store assigned it.
 //!
-//! A store that comes back from an older copy gives offsets out again. Each time its era rises by one, so that a position of a later
-//! era is after all of the earlier ones, however small its offset is.
+//! A store that is restored from an older copy assigns offsets again. Each restore increments its era, so that every
+//! position of a later era is greater than all positions of earlier ones, however small its offset is.
 
-/// How often the store has come back from an older copy.
+/// Number of times that the store has been restored from an older copy.
 pub type Era = u64;
 
-/// Bits of a position that hold the offset: enough for a thousand records a second over thirty years.
+/// Bits of a position that hold the offset: enough for a thousand records per second over thirty years.
 const OFFSET_BITS: u32 = 40;
 
 /// The position of an offset in an era.
--- a/havengrade_core/src/ranking.rs
+++ b/havengrade_core/src/ranking.rs
@@ -1,15 +1,15 @@
-//! Orders of VMs or endpoints that every VM works out alike, whatever its build.
+//! Pseudo-random orders of VMs or endpoints that every VM computes alike, whatever its build.
 
 use std::hash::Hasher as _;
 
 use siphasher::sip::SipHasher13;
 
-/// Ends each text, so that no two lists of texts give the same bytes; no text in UTF-8 holds it.
-const END: u8 = 0xff;
+/// Terminates each text, so that no two lists of texts give the same bytes; the byte does not occur in UTF-8.
+const TERMINATOR: u8 = 0xff;
 
-/// Where a list of texts stands in an order that is evenly spread and the same in every build.
+/// The rank of a list of texts in a uniformly distributed order, the same in every build.
 ///
-/// It is quick and not secret: who can choose the texts can choose the rank.
+/// The hash is fast and not keyed: whoever can choose the texts can choose the rank.
 ///
 /// ```
 /// use havengrade_core::ranking::rank;
@@ -21,7 +21,7 @@
     let mut hasher = SipHasher13::new();
     for text in texts {
         hasher.write(text.as_bytes());
-        hasher.write_u8(END);
+        hasher.write_u8(TERMINATOR);
     }
     hasher.finish()
 }
--- a/havengrade_core/src/secret.rs
+++ b/havengrade_core/src/secret.rs
@@ -1,4 +1,4 @@
-//! Digests: of keys, which are compared in constant time, and for spreading work evenly.
+//! SHA-256 digests: of keys, which are compared in constant time, and for uniform hashing.
 
 use sha2::{Digest as _, Sha256};
 use subtle::ConstantTimeEq as _;
@@ -19,7 +19,7 @@
     Sha256::digest(secret).into()
 }
 
-/// The digest of a secret, in hexadecimal.
+/// The digest of a secret in hexadecimal.
 ///
 /// ```
 /// use havengrade_core::secret::{digest_hex, parse_digest};
@@ -30,16 +30,16 @@
     hex::encode(digest(secret))
 }
 
-/// Reads a digest from 64 hexadecimal digits.
+/// Parses a digest from 64 hexadecimal digits.
 pub fn parse_digest(text: &str) -> Option<Digest> {
     let mut digest = Digest::default();
     hex::decode_to_slice(text, &mut digest).ok()?;
     Some(digest)
 }
 
-/// Whether the secret has the digest that stands in hexadecimal, in constant time.
+/// Whether the secret has the given digest in hexadecimal, compared in constant time.
 ///
-/// A digest that can't be read matches nothing, and takes as long to refuse.
+/// A digest that cannot be parsed matches nothing and takes as long to reject.
 ///
 /// ```
 /// use havengrade_core::secret;
@@ -49,13 +49,13 @@
 /// assert!(!secret::matches("gate.guess", &stored));
 /// ```
 pub fn matches(secret: &str, digest_hex: &str) -> bool {
-    let known = parse_digest(digest_hex);
-    let stored = known.unwrap_or_default();
+    let parsed = parse_digest(digest_hex);
+    let stored = parsed.unwrap_or_default();
     let same: bool = digest(secret.as_bytes()).ct_eq(&stored).into();
-    same && known.is_some()
+    same && parsed.is_some()
 }
 
-/// A number that is evenly spread over its range, and the same on every VM and in every build.
+/// A uniformly distributed hash of the parts, the same on every VM and in every build.
 ///
 /// ```
 /// use havengrade_core::secret::uniform_hash;
--- a/havengrade_core/tests/published_start.rs
+++ b/havengrade_core/tests/published_start.rs
@@ -53,7 +53,7 @@
             }
             let others = fleet.iter().filter(|peer| peer.vm != fleet[me].vm).collect();
             let starting =
-                StartingVm { me: &fleet[me], others, is_list_loaded: true, news: &StoreReadReports::default() };
+                StartingVm { me: &fleet[me], others, is_list_loaded: true, store_reads: &StoreReadReports::default() };
             let asked = starting.peers_to_ask(round, &mut rng);
             let is_told = asked.iter().any(|to| knows_at.get(&index_of[to]).is_some_and(|at| *at <= now));
             if !is_told && starting.next_step(began, now) == NextStep::ReadStore {
@@ -99,13 +99,14 @@
     let fleet = fleet();
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let news = StoreReadReports::default();
-    let starting = StartingVm { me: &fleet[0], others: fleet[1..].iter().collect(), is_list_loaded: true, news: &news };
+    let starting =
+        StartingVm { me: &fleet[0], others: fleet[1..].iter().collect(), is_list_loaded: true, store_reads: &news };
     let near: BTreeSet<SocketAddr> =
         fleet.iter().filter(|peer| peer.failure_domain == "d0").map(|peer| peer.address).collect();
     let asked = starting.peers_to_ask(0, &mut rng);
     assert!(asked.len() == 2 && asked.iter().all(|address| near.contains(address)));
     let me = Peer { failure_domain: "elsewhere".into(), ..fleet[0].clone() };
-    let alone = StartingVm { me: &me, others: fleet[1..3].iter().collect(), is_list_loaded: true, news: &news };
+    let alone = StartingVm { me: &me, others: fleet[1..3].iter().collect(), is_list_loaded: true, store_reads: &news };
     assert_eq!(alone.peers_to_ask(0, &mut rng).len(), 2, "without any nearby, others are asked");
 }
 
@@ -145,7 +146,7 @@
 
 /// A VM that only knows the one that greeted it.
 fn greeted<'a>(me: &'a Peer, by: &'a Peer, news: &'a StoreReadReports) -> StartingVm<'a> {
-    StartingVm { me, others: vec![by], is_list_loaded: false, news }
+    StartingVm { me, others: vec![by], is_list_loaded: false, store_reads: news }
 }
 
 #[test]
--- a/havengrade_router/src/published/starting.rs
+++ b/havengrade_router/src/published/starting.rs
@@ -99,7 +99,12 @@
     let me = cx.me();
     let peers = cx.shared.peers();
     let news = cx.shared.reading_news();
-    decide(StartingVm { me: &me, others: peers.all().collect(), is_list_loaded: peers.is_list_loaded(), news: &news })
+    decide(StartingVm {
+        me: &me,
+        others: peers.all().collect(),
+        is_list_loaded: peers.is_list_loaded(),
+        store_reads: &news,
+    })
 }
 
 /// Asks some others at the same time; tells whether one of them told everything.
