--- a/havengrade_core/src/published/relay.rs
+++ b/havengrade_core/src/published/relay.rs
@@ -1,7 +1,8 @@
-//! Who reads the store for whom: a few VMs read, the others ask them and read only what they miss.
+//! Relay of the store's content between VMs: a few VMs read the store, and the others ask them and read only what
+//! they miss.
 //!
-//! A VM that asks counts an answer's age from when it asked, by its own clock, so that an answer which is held
-//! up on its way is never believed to be younger than it is.
+//! A VM that asks computes the age of an answer from the time of its question by its own clock, so that an answer
+//! that was delayed in transit never looks newer than it is.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -10,48 +11,51 @@
 
 use crate::{ids::VmId, published::directory::DirectoryEvent, ranking::rank};
 
-/// VMs that read the store, at least: one may be cut off from it.
+/// Smallest number of VMs that read the store: one may be cut off from it.
 const MIN_READERS: usize = 2;
-/// VMs that one reader answers for.
-const VMS_A_READER: usize = 64;
-/// Looks of each VM in which, together, as many of a large fleet read for themselves as read for others.
-const LOOKS_A_READING: f64 = 4.0;
-/// Rounds beyond the first in which a VM asks others for news, at most: each may take as long as a change may age.
-const MAX_ROUNDS: u32 = 3;
-/// Changes of the list of endpoints that are kept for VMs that ask, at least.
-const MIN_CHANGES: usize = 128;
-/// Part of the list up to which its changes are kept: those that come with a new version or a failure domain are as many as the
-/// endpoints, and beyond this the list itself is not much longer.
-const CHANGED_PART: usize = 2;
-/// Age of a view up to which it is taken from another VM.
+/// Number of VMs per reader.
+const VMS_PER_READER: usize = 64;
+/// Polls of each VM within which, in total, as many VMs of a large fleet read the store for themselves as are readers.
+const POLLS_PER_READ: f64 = 4.0;
+/// Largest number of rounds after the first in which a VM asks others for a change: each may take as long as a change
+/// may age.
+const MAX_EXTRA_ROUNDS: u32 = 3;
+/// Smallest number of changes to the endpoint list that are kept for VMs that ask.
+const MIN_KEPT_CHANGES: usize = 128;
+/// Divisor of the length of the list that gives the number of kept changes. A new version or the loss of a failure
+/// domain changes as many entries as there are endpoints, and beyond this part the list itself is not much longer.
+const KEPT_CHANGES_DIVISOR: usize = 2;
+/// Age up to which a view is accepted from another VM.
 ///
-/// A reader's view is up to two of its waiting calls old, and it is asked a little later. What remains until a
-/// change must be in force, two seconds, is for a VM's own read.
+/// A reader's view is up to two of its long polls old, and it is asked a little later. The rest of the time until a
+/// change must be active, two seconds, is left for a read of the VM's own.
 pub const MAX_RELAYED_AGE: Duration = Duration::from_millis(2300);
-/// Time without a good answer after which a VM counts as told by nobody.
-const ALONE_AFTER: Duration = Duration::from_millis(1200);
-/// Age of a view at which a VM that is told by nobody reads the store.
-const ALONE_LIMIT: Duration = Duration::from_millis(1200);
-/// Age of a view from which VMs whose readers don't reach the store try it in turn_delay.
+/// Time without a useful answer after which a VM counts as isolated from its peers.
+const ISOLATED_AFTER: Duration = Duration::from_millis(1200);
+/// Age of the view at which an isolated VM reads the store.
+const MAX_ISOLATED_AGE: Duration = Duration::from_millis(1200);
+/// Age of the view from which VMs whose readers do not reach the store try it in turns.
 ///
-/// It leaves 0.4 s until a change must be in force.
-const TURNS_FROM: Duration = Duration::from_millis(1600);
-/// Time between the turn_delay of two VMs of a failure domain: with six of them, 30 calls a second while the store is away.
-const TURN: Duration = Duration::from_millis(200);
-/// Age of what a reader tells from which it is taken not to reach the store.
+/// This leaves 0.4 s until a change must be active.
+const TURNS_FROM_AGE: Duration = Duration::from_millis(1600);
+/// Delay between the turns of two VMs of a failure domain: with six failure domains, 30 calls a second while the
+/// store is unreachable.
+const TURN_INTERVAL: Duration = Duration::from_millis(200);
+/// Age of a reader's view from which the reader is assumed not to reach the store.
 ///
-/// The view of one that does is two of its waiting calls old at most, 1.4 s.
-const READER_AGE: Duration = Duration::from_millis(1600);
-/// VMs that offered to read for others, of which one remembers.
-const MAX_VOLUNTEERS: usize = 2;
-/// Questions without a good answer after which a reader is passed over; datagrams are lost now and then.
-const MISSES: u32 = 2;
-/// Time for which it is passed over at first; each further miss doubles it.
-const FIRST_DOUBT: Duration = Duration::from_secs(2);
-/// Doublings of that time, at most.
+/// The view of a reader that reaches it is at most two of its long polls old, 1.4 s.
+const STALE_READER_AGE: Duration = Duration::from_millis(1600);
+/// Fallback readers that a VM remembers.
+const MAX_FALLBACKS: usize = 2;
+/// Consecutive questions without a useful answer after which a reader is skipped; single datagrams are lost now and
+/// then.
+const MISSES_BEFORE_SKIP: u32 = 2;
+/// Initial time for which such a reader is skipped; each further miss doubles it.
+const FIRST_SKIP_TIME: Duration = Duration::from_secs(2);
+/// Largest number of doublings of that time.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// How many of so many VMs read the store.
+/// The number of VMs that read the store, out of this many.
 ///
 /// ```
 /// use havengrade_core::published::relay::reader_count;
@@ -59,13 +63,13 @@
 /// assert_eq!([reader_count(1), reader_count(9), reader_count(390)], [1, 2, 7]);
 /// ```
 pub fn reader_count(vms: usize) -> usize {
-    vms.div_ceil(VMS_A_READER).max(MIN_READERS).min(vms)
+    vms.div_ceil(VMS_PER_READER).max(MIN_READERS).min(vms)
 }
 
-/// Chance with which a VM that doesn't read for others reads, at one of its looks, what grows with the fleet.
+/// The probability with which a VM that is not a reader reads, in one poll, the feeds whose cost grows with the fleet.
 ///
-/// Where the VMs of a large fleet lose those that read at the same moment, this bounds how many of them read in a second by the readers
-/// that the fleet has.
+/// If the VMs of a large fleet lose their readers all at once, this limits the number of reads in a second to the
+/// number of its readers.
 ///
 /// ```
 /// use havengrade_core::published::relay::read_probability;
@@ -74,15 +78,16 @@
 /// assert!(read_probability(1000) < 0.005);
 /// ```
 pub fn read_probability(vms: usize) -> f64 {
-    if vms <= VMS_A_READER {
+    if vms <= VMS_PER_READER {
         return 1.0;
     }
-    reader_count(vms) as f64 / vms as f64 / LOOKS_A_READING
+    reader_count(vms) as f64 / vms as f64 / POLLS_PER_READ
 }
 
-/// How often a VM that others told of news asks two of them for it before it reads the store.
+/// The number of rounds in which a VM that received a hint of a change asks two others for it before it reads the
+/// store.
 ///
-/// Those that are served serve others, so that the number of VMs that have the news doubles with each round at least.
+/// VMs that were served serve others, so that the number of VMs that have the change at least doubles with each round.
 ///
 /// ```
 /// use havengrade_core::published::relay::peer_rounds_before_read;
@@ -90,17 +95,17 @@
 /// assert_eq!([peer_rounds_before_read(9), peer_rounds_before_read(300), peer_rounds_before_read(2000)], [1, 3, 4]);
 /// ```
 pub fn peer_rounds_before_read(vms: usize) -> u32 {
-    1 + vms.checked_div(VMS_A_READER).and_then(usize::checked_ilog2).unwrap_or_default().min(MAX_ROUNDS)
+    1 + vms.checked_div(VMS_PER_READER).and_then(usize::checked_ilog2).unwrap_or_default().min(MAX_EXTRA_ROUNDS)
 }
 
-/// How new a VM's view of the store is, and what others told of it.
+/// The age of a VM's view of the store, and of the last answer from its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Freshness {
-    /// When nothing newer than the view existed.
+    /// Time at which the view was known to be up to date.
     pub confirmed: SystemTime,
-    /// When another VM last told anything, however old.
+    /// Time of the last answer from another VM, whatever its age.
     pub last_answer: Option<SystemTime>,
-    /// How old that was.
+    /// Age of the view in that answer.
     pub answer_age: Duration,
 }
 
@@ -111,21 +116,21 @@
 }
 
 impl Freshness {
-    /// Notes what another VM told: nothing newer existed at `at`.
+    /// Records the answer of another VM, whose view was up to date at `at`.
     pub fn record_answer(&mut self, at: SystemTime, now: SystemTime) {
         self.last_answer = Some(now);
         self.answer_age = now.duration_since(at).unwrap_or_default();
         self.confirmed = self.confirmed.max(at);
     }
 
-    /// Whether others live but don't reach the store either, as far as is known.
+    /// Whether peers are alive but do not reach the store either, as far as is known.
     pub fn is_store_unreachable_for_peers(&self, now: SystemTime) -> bool {
-        is_lately(self.last_answer, now) && self.answer_age >= READER_AGE
+        is_recent(self.last_answer, now) && self.answer_age >= STALE_READER_AGE
     }
 
-    /// Whether a VM must read the store itself: its view is old, and nobody told it that nothing is newer.
+    /// Whether a VM must read the store itself: its view is old, and no peer has confirmed it.
     ///
-    /// `place` counts the VMs of its failure domain that try before it where others don't reach the store either.
+    /// `place` is the number of VMs of its failure domain that try before it while peers do not reach the store either.
     ///
     /// ```
     /// use std::time::{Duration, SystemTime};
@@ -141,20 +146,20 @@
     /// assert!(away.must_read_store(0, now) && !away.must_read_store(9, now));
     /// ```
     pub fn must_read_store(&self, place: usize, now: SystemTime) -> bool {
-        if !is_lately(self.last_answer, now) {
-            return now > self.confirmed + ALONE_LIMIT;
+        if !is_recent(self.last_answer, now) {
+            return now > self.confirmed + MAX_ISOLATED_AGE;
         }
         let limit =
-            if self.is_store_unreachable_for_peers(now) { TURNS_FROM + turn_delay(place) } else { MAX_RELAYED_AGE };
+            if self.is_store_unreachable_for_peers(now) { TURNS_FROM_AGE + turn_delay(place) } else { MAX_RELAYED_AGE };
         now > self.confirmed + limit
     }
 }
 
-fn is_lately(at: Option<SystemTime>, now: SystemTime) -> bool {
-    at.is_some_and(|at| now < at + ALONE_AFTER)
+fn is_recent(at: Option<SystemTime>, now: SystemTime) -> bool {
+    at.is_some_and(|at| now < at + ISOLATED_AFTER)
 }
 
-/// Time that so many VMs need for a turn each.
+/// The time that this many VMs need for one turn each.
 ///
 /// ```
 /// use std::time::Duration;
@@ -163,106 +168,107 @@
 /// assert_eq!(turn_delay(49), Duration::from_millis(9800));
 /// ```
 pub fn turn_delay(vms: usize) -> Duration {
-    TURN * u32::try_from(vms).unwrap_or(u32::MAX)
+    TURN_INTERVAL * u32::try_from(vms).unwrap_or(u32::MAX)
 }
 
-/// Where a VM stands among those of its failure domain that try the store in turn_delay.
+/// The position of a VM among those of its failure domain that try the store in turns.
 pub fn turn_position<'a>(others: impl Iterator<Item = &'a VmId>, me: &VmId) -> usize {
     let own = rank(&[me]);
     others.filter(|vm| rank(&[vm]) < own).count()
 }
 
-/// Which VMs read the store, as far as this VM finds them to answer.
+/// Selects the VMs that are asked as readers, by whether they have answered this VM.
 #[derive(Clone, Debug, Default)]
 pub struct ReaderSelection {
-    doubts: HashMap<VmId, Doubt>,
+    missed_answers: HashMap<VmId, MissedAnswers>,
     turn: usize,
-    /// VMs that reach the store while those whose turn it is do not.
-    volunteers: VecDeque<VmId>,
+    /// Fallback readers: VMs that reach the store while the regular readers do not.
+    fallbacks: VecDeque<VmId>,
 }
 
-/// Questions in a row that a VM did not answer well, and until when it is passed over for that.
+/// The consecutive missed answers of a VM, and the time until which it is skipped.
 #[derive(Clone, Copy, Debug)]
-struct Doubt {
+struct MissedAnswers {
     misses: u32,
     until: SystemTime,
 }
 
 impl ReaderSelection {
-    /// The VMs that read the store, out of all that are known; in the same order wherever it is asked.
+    /// The VMs that read the store, out of all known ones; every VM that computes them gets the same order.
     ///
-    /// Those that don't answer this VM are passed over, but itself never is.
+    /// VMs that do not answer this one are skipped, except for itself.
     pub fn select<'a>(&self, vms: impl Iterator<Item = &'a VmId>, me: &VmId, now: SystemTime) -> Vec<&'a VmId> {
         let mut ranked: Vec<(u64, &VmId)> = vms.map(|vm| (rank(&[vm]), vm)).collect();
         ranked.sort_unstable();
         let wanted = reader_count(ranked.len());
-        let trusted = ranked.into_iter().map(|(_, vm)| vm).filter(|vm| *vm == me || !self.is_doubted(vm, now));
-        trusted.take(wanted).collect()
+        let candidates = ranked.into_iter().map(|(_, vm)| vm).filter(|vm| *vm == me || !self.is_skipped(vm, now));
+        candidates.take(wanted).collect()
     }
 
-    fn is_doubted(&self, vm: &str, now: SystemTime) -> bool {
-        self.doubts.get(vm).is_some_and(|doubt| now < doubt.until)
+    fn is_skipped(&self, vm: &str, now: SystemTime) -> bool {
+        self.missed_answers.get(vm).is_some_and(|missed| now < missed.until)
     }
 
-    /// The VM to ask next; they take turn_delay, so that what one of them misses another one tells.
+    /// The VM to ask next. Readers take turns, so that what one of them misses comes from another.
     ///
-    /// While there are volunteers, every other question goes to one of them.
+    /// While there are fallback readers, every other question goes to one of them.
     pub fn next_to_ask(&mut self, readers: &[&VmId]) -> Option<VmId> {
         self.turn = self.turn.wrapping_add(1);
         if self.turn.is_multiple_of(2)
-            && let Some(volunteer) = self.volunteers.pop_front()
+            && let Some(fallback) = self.fallbacks.pop_front()
         {
-            self.volunteers.push_back(volunteer.clone());
-            return Some(volunteer);
+            self.fallbacks.push_back(fallback.clone());
+            return Some(fallback);
         }
         readers.get(self.turn % readers.len().max(1)).map(|vm| (*vm).clone())
     }
 
-    /// Notes a VM that offered to read for others.
+    /// Records a VM that offered to act as a fallback reader.
     pub fn add_fallback(&mut self, vm: VmId) {
-        if self.volunteers.contains(&vm) {
+        if self.fallbacks.contains(&vm) {
             return;
         }
-        self.volunteers.push_front(vm);
-        self.volunteers.truncate(MAX_VOLUNTEERS);
+        self.fallbacks.push_front(vm);
+        self.fallbacks.truncate(MAX_FALLBACKS);
     }
 
-    fn is_volunteer(&self, vm: &str) -> bool {
-        self.volunteers.iter().any(|known| known == vm)
+    fn is_fallback(&self, vm: &str) -> bool {
+        self.fallbacks.iter().any(|known| known == vm)
     }
 
-    /// Notes an answer that is too old to be of use: the VM lives, but does not reach the store.
+    /// Records an answer that is too old to be useful: the VM is alive but does not reach the store.
     ///
-    /// It is not passed over: whoever comes after it may reach the store no better, and would ask it as well.
+    /// It is not skipped: its successor may reach the store no better, and would ask it as well.
     pub fn record_stale_answer(&mut self, vm: &str) {
-        self.doubts.remove(vm);
-        self.volunteers.retain(|known| known != vm);
+        self.missed_answers.remove(vm);
+        self.fallbacks.retain(|known| known != vm);
     }
 
-    /// Notes that a VM gave no answer.
+    /// Records a missing answer.
     pub fn record_miss(&mut self, vm: &VmId, now: SystemTime) {
-        self.volunteers.retain(|known| known != vm);
-        let doubt = self.doubts.entry(vm.clone()).or_insert(Doubt { misses: 0, until: now });
-        doubt.misses += 1;
-        if let Some(more) = doubt.misses.checked_sub(MISSES) {
-            doubt.until = now + FIRST_DOUBT * 2u32.pow(more.min(MAX_DOUBLINGS));
+        self.fallbacks.retain(|known| known != vm);
+        let missed = self.missed_answers.entry(vm.clone()).or_insert(MissedAnswers { misses: 0, until: now });
+        missed.misses += 1;
+        if let Some(more) = missed.misses.checked_sub(MISSES_BEFORE_SKIP) {
+            missed.until = now + FIRST_SKIP_TIME * 2u32.pow(more.min(MAX_DOUBLINGS));
         }
     }
 
-    /// Notes a good answer of a VM; with one of a reader, nobody needs to read in its place.
+    /// Records a useful answer of a VM; one of a regular reader ends the use of fallback readers.
     ///
-    /// Tells whether it came from a reader.
+    /// Returns whether it came from a regular reader.
     pub fn record_answer(&mut self, vm: &str) -> bool {
-        self.doubts.remove(vm);
-        let is_reader = !self.is_volunteer(vm);
+        self.missed_answers.remove(vm);
+        let is_reader = !self.is_fallback(vm);
         if is_reader {
-            self.volunteers.clear();
+            self.fallbacks.clear();
         }
         is_reader
     }
 }
 
-/// Until when a view is known to have been the newest, from an answer to a question that was asked at `asked`.
+/// The time at which a view was known to be up to date, from the age in an answer to a question that was asked at
+/// `asked`.
 ///
 /// ```
 /// use std::time::{Duration, SystemTime};
@@ -275,7 +281,7 @@
     asked.checked_sub(age).unwrap_or(SystemTime::UNIX_EPOCH)
 }
 
-/// The last changes of the list of endpoints, each with the position after the read that brought it.
+/// Recent changes to the endpoint list, each with the position after the read that returned it.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
     changes: VecDeque<(u64, DirectoryEvent)>,
@@ -283,12 +289,12 @@
     complete_from: u64,
     /// Position after the last read.
     position: u64,
-    /// Rises whenever the list changes.
+    /// Increases whenever the list changes.
     revision: u64,
 }
 
 impl ChangeLog {
-    /// Notes what a read brought and the position after it; the list has so many endpoints.
+    /// Records the events of a read and the position after it; `listed` is the number of endpoints on the list.
     pub fn record(&mut self, events: &[DirectoryEvent], position: u64, listed: usize) {
         let is_list = events.iter().any(|event| matches!(event, DirectoryEvent::All(_) | DirectoryEvent::Restored(_)));
         if is_list {
@@ -299,7 +305,7 @@
         }
         self.position = position;
         self.revision += u64::from(!events.is_empty());
-        let kept = MIN_CHANGES.max(listed / CHANGED_PART);
+        let kept = MIN_KEPT_CHANGES.max(listed / KEPT_CHANGES_DIVISOR);
         while self.changes.len() > kept {
             if let Some((dropped, _)) = self.changes.pop_front() {
                 self.complete_from = dropped;
@@ -312,12 +318,12 @@
         self.position
     }
 
-    /// A number that rises whenever the list changes.
+    /// A number that increases whenever the list changes.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The changes since a position; none where some of them are no longer kept, or the position is ahead.
+    /// The changes since a position; none if some of them are no longer kept, or if the position is ahead of this log.
     ///
     /// ```
     /// use havengrade_core::published::{directory::DirectoryEvent, relay::ChangeLog};
--- a/havengrade_core/src/published/startup.rs
+++ b/havengrade_core/src/published/startup.rs
@@ -16,8 +16,8 @@
 
 /// Longest time for which a VM listens for others before it reads the list of VMs.
 ///
-/// With 200 ms here and 350 ms as `PEER_ANSWER_TIMEOUT`, restarts of a whole fleet scored 0.013 less at a small site and
-/// no more at two others.
+/// With 200 ms here and 350 ms as `PEER_ANSWER_TIMEOUT`, restarts of a whole fleet scored 0.013 less at a small site
+/// and no more at two others.
 pub const MAX_LISTEN_TIME: Duration = Duration::from_millis(60);
 /// Time for which a VM listens at the first start of a fleet, when all others register as well.
 ///
@@ -227,8 +227,8 @@
         }
         // A VM that was greeted waits longer, since the first readers read the list of VMs before the store.
         let timeout = if self.store_reads.readers.is_empty() { PEER_ANSWER_TIMEOUT } else { PEER_READ_TIMEOUT };
-        let read_until = self.store_reads.last_read.map_or(asked, |at| at + PEER_READ_TIMEOUT);
-        let read_from = read_until.max(asked + timeout);
+        let peer_reads_until = self.store_reads.last_read.map_or(asked, |at| at + PEER_READ_TIMEOUT);
+        let read_from = peer_reads_until.max(asked + timeout);
         if !self.is_list_loaded {
             return if now >= read_from { NextStep::ReadVmList } else { NextStep::Ask };
         }
