--- a/havengrade_dev/tests/operators.rs
+++ b/havengrade_dev/tests/operators.rs
@@ -11,9 +11,8 @@
 };
 use havengrade_router::services::operators::answer;
 use havengrade_rpc::{
-    OperatorCall, OperatorFault, OperatorReply, OperatorResult, answer_call,
+    OperatorCall, OperatorError, OperatorReply, OperatorResult, decode_call, encode_reply,
     operators::{ChangeReply, ChangeStatus, Credentials, Plan},
-    parse_call,
 };
 use support::Bench;
 use tokio::time::sleep;
@@ -107,7 +106,7 @@
     assert!(refused.detail.contains("class toast.deadline_ms"));
     let no_reason = OperatorCall::Withdraw { change_id: "c2".into(), reason: " ".into(), version: CHEAP.into() };
     let fault = call(&bench, "vm-1", no_reason).await.unwrap_err();
-    assert!(matches!(fault, OperatorFault::BadRequest(fault) if fault.field == "reason"));
+    assert!(matches!(fault, OperatorError::BadRequest(fault) if fault.field == "reason"));
 }
 
 #[tokio::test(start_paused = true)]
@@ -133,7 +132,7 @@
         let credentials = Credentials::new(name.to_owned(), key.to_owned());
         let cx = bench.fleet.routers["vm-1"].context();
         let fault = answer(cx, &credentials, OperatorCall::Status).await.unwrap_err();
-        assert!(matches!(fault, OperatorFault::Unauthenticated(_)));
+        assert!(matches!(fault, OperatorError::Unauthenticated(_)));
     }
     let shown = call(&bench, "vm-1", OperatorCall::Show { kind: "session_key".into() }).await.unwrap();
     assert!(!format!("{shown:?}").contains("5e5e"));
@@ -145,7 +144,7 @@
     call(&bench, "vm-1", OperatorCall::Drain { vm: "vm-3".into() }).await.unwrap();
     assert!(bench.fleet.routers["vm-3"].drained().await);
     let unknown = call(&bench, "vm-1", OperatorCall::Drain { vm: "vm-9".into() }).await.unwrap_err();
-    assert!(matches!(unknown, OperatorFault::BadRequest(fault) if fault.field == "vm"));
+    assert!(matches!(unknown, OperatorError::BadRequest(fault) if fault.field == "vm"));
 }
 
 #[test]
@@ -159,6 +158,6 @@
     let output = TBinaryOutputProtocol::new(&mut frame, true);
     // The client sends the call and then finds no answer.
     assert!(OperatorsSyncClient::new(input, output).drain(credentials.clone(), "vm-1".to_owned()).is_err());
-    assert_eq!(parse_call(&frame).unwrap(), (credentials, OperatorCall::Drain { vm: "vm-1".to_owned() }));
-    assert!(!answer_call(&frame, Ok(OperatorReply::Done)).unwrap().is_empty());
+    assert_eq!(decode_call(&frame).unwrap(), (credentials, OperatorCall::Drain { vm: "vm-1".to_owned() }));
+    assert!(!encode_reply(&frame, Ok(OperatorReply::Empty)).unwrap().is_empty());
 }
--- a/havengrade_router/src/published/hand_on.rs
+++ b/havengrade_router/src/published/hand_on.rs
@@ -10,7 +10,7 @@
 use futures::{SinkExt as _, StreamExt as _};
 use havengrade_core::published::state_transfer::TransferDecision;
 use havengrade_rpc::{
-    Frames, RpcError, frames,
+    FramedStream, RpcError, framed,
     reports::{StateHead, StatePart, StateQuestion},
 };
 use snafu::{OptionExt as _, ResultExt as _, Snafu};
@@ -78,7 +78,7 @@
 }
 
 async fn answer(cx: &PublishedContext, connection: BoxConnection) -> Result<(), HandError> {
-    let mut frames = frames(connection, MAX_FRAME);
+    let mut frames = framed(connection, MAX_FRAME);
     let frame = timeout(FRAME_LIMIT, frames.next()).await.ok().context(LateSnafu)?;
     let frame = frame.context(LeftSnafu)?.context(BrokenSnafu)?;
     let question: StateQuestion = havengrade_rpc::decode(&frame).context(MessageSnafu)?;
@@ -134,7 +134,7 @@
 async fn hand(
     cx: &PublishedContext,
     question: &StateQuestion,
-    frames: &mut Frames<BoxConnection>,
+    frames: &mut FramedStream<BoxConnection>,
 ) -> Result<bool, HandError> {
     let answer = Answer::new(cx, question, cx.shared.clock.now()).context(PartSnafu)?;
     let is_whole = answer.head.operators.is_some() && answer.head.endpoints.is_some();
@@ -145,12 +145,12 @@
     Ok(is_whole)
 }
 
-async fn send_head(frames: &mut Frames<BoxConnection>, head: &StateHead) -> Result<(), HandError> {
+async fn send_head(frames: &mut FramedStream<BoxConnection>, head: &StateHead) -> Result<(), HandError> {
     let bytes = havengrade_rpc::encode(head).context(MessageSnafu)?;
     send(frames, Bytes::from(bytes)).await
 }
 
-async fn send_text(frames: &mut Frames<BoxConnection>, mut text: Bytes) -> Result<(), HandError> {
+async fn send_text(frames: &mut FramedStream<BoxConnection>, mut text: Bytes) -> Result<(), HandError> {
     while !text.is_empty() {
         let piece = text.split_to(text.len().min(MAX_FRAME));
         send(frames, piece).await?;
@@ -158,7 +158,7 @@
     Ok(())
 }
 
-async fn send(frames: &mut Frames<BoxConnection>, frame: Bytes) -> Result<(), HandError> {
+async fn send(frames: &mut FramedStream<BoxConnection>, frame: Bytes) -> Result<(), HandError> {
     timeout(FRAME_LIMIT, frames.send(frame)).await.ok().context(LateSnafu)?.context(BrokenSnafu)
 }
 
--- a/havengrade_router/src/published/take.rs
+++ b/havengrade_router/src/published/take.rs
@@ -14,7 +14,7 @@
     relay::{confirmed_at, peer_rounds_before_read},
 };
 use havengrade_rpc::{
-    Frames, RpcError, frames,
+    FramedStream, RpcError, framed,
     reports::{StateHead, StatePart, StateQuestion},
 };
 use rand::seq::IteratorRandom as _;
@@ -197,7 +197,7 @@
     let asked = cx.shared.clock.now();
     let question = question(cx, wanted);
     let connected = timeout(CONNECT_LIMIT, cx.network.connect(from)).await;
-    let mut frames = frames(connected.ok().context(LateSnafu)?.context(ConnectSnafu)?, MAX_FRAME);
+    let mut frames = framed(connected.ok().context(LateSnafu)?.context(ConnectSnafu)?, MAX_FRAME);
     let bytes = havengrade_rpc::encode(&question).context(MessageSnafu)?;
     frames.send(Bytes::from(bytes)).await.context(BrokenSnafu)?;
     let head: StateHead = havengrade_rpc::decode(&next(&mut frames).await?).context(MessageSnafu)?;
@@ -222,14 +222,14 @@
     StateQuestion::new(address, operators.map(to_i64), endpoints.map(to_i64), wants_vms || only_vms, only_vms)
 }
 
-async fn next(frames: &mut Frames<BoxConnection>) -> Result<BytesMut, TakeError> {
+async fn next(frames: &mut FramedStream<BoxConnection>) -> Result<BytesMut, TakeError> {
     let frame = timeout(FRAME_LIMIT, frames.next()).await.ok().context(LateSnafu)?;
     frame.context(EndedSnafu)?.context(BrokenSnafu)
 }
 
 /// Reads the text of a part; none where the part has nothing newer.
 async fn text<T: DeserializeOwned>(
-    frames: &mut Frames<BoxConnection>,
+    frames: &mut FramedStream<BoxConnection>,
     part: Option<&StatePart>,
 ) -> Result<Option<T>, TakeError> {
     let bytes = part.map_or(0, |part| from_i64(part.bytes));
--- a/havengrade_router/src/services/operators.rs
+++ b/havengrade_router/src/services/operators.rs
@@ -15,12 +15,11 @@
     secret,
 };
 use havengrade_rpc::{
-    OperatorCall, OperatorFault, OperatorReply, OperatorResult, answer_call, frames,
+    OperatorCall, OperatorError, OperatorReply, OperatorResult, decode_call, encode_reply, framed,
     operators::{
         AuditEntry, BadRequest, ChangeReply, ChangeStatus, Credentials, FleetStatus, ItemDifference, Plan, ShownItem,
         Unauthenticated, Unavailable, VmStatus,
     },
-    parse_call,
     peers::{PeerDrain, PeerRequest},
 };
 use ractor::{Actor, ActorCell, ActorProcessingErr, ActorRef};
@@ -99,7 +98,7 @@
 }
 
 async fn serve_operator(cx: Context, connection: BoxConnection) {
-    let mut frames = frames(connection, cx.shared.settings.limits.max_frame_bytes);
+    let mut frames = framed(connection, cx.shared.settings.limits.max_frame_bytes);
     while let Ok(Some(frame)) = timeout(IDLE_LIMIT, frames.next()).await {
         let answered = match frame {
             Ok(frame) => answer_frame(&cx, &frame).await,
@@ -120,16 +119,16 @@
 }
 
 async fn answer_frame(cx: &Context, frame: &[u8]) -> Result<Vec<u8>, String> {
-    let (credentials, call) = parse_call(frame).map_err(|error| error.to_string())?;
+    let (credentials, call) = decode_call(frame).map_err(|error| error.to_string())?;
     let result = answer(cx, &credentials, call).await;
-    answer_call(frame, result).map_err(|error| error.to_string())
+    encode_reply(frame, result).map_err(|error| error.to_string())
 }
 
 /// Carries out an operator's call.
 ///
 /// # Errors
 ///
-/// [`OperatorFault`] tells whether the caller, a field or the VM is at fault.
+/// [`OperatorError`] tells whether the caller, a field or the VM is at fault.
 pub async fn answer(cx: &Context, credentials: &Credentials, call: OperatorCall) -> OperatorResult {
     let author = authenticate(cx, credentials)?;
     match call {
@@ -152,12 +151,12 @@
             audit(cx, from_offset.max(0).cast_unsigned(), limit).await.map(OperatorReply::Audit)
         },
         OperatorCall::Status => status(cx).await.map(OperatorReply::Status),
-        OperatorCall::Drain { vm } => drain(cx, &author, vm).await.map(|()| OperatorReply::Done),
+        OperatorCall::Drain { vm } => drain(cx, &author, vm).await.map(|()| OperatorReply::Empty),
     }
 }
 
 /// The operator's name, if the key fits; an unknown name takes as long to refuse as a wrong key.
-fn authenticate(cx: &Context, credentials: &Credentials) -> Result<String, OperatorFault> {
+fn authenticate(cx: &Context, credentials: &Credentials) -> Result<String, OperatorError> {
     let operators = &cx.shared.settings.operators;
     let operator = operators.iter().find(|operator| operator.name == credentials.operator_name);
     let stored = operator.map_or("", |operator| operator.key_sha256.as_str());
@@ -166,20 +165,20 @@
     }
     log::warn!(service = NAME, operator = credentials.operator_name.as_str(); "operator refused");
     let remedy = "the name or the key is wrong; the settings of the VM list who may call".to_owned();
-    Err(OperatorFault::Unauthenticated(Unauthenticated { remedy }))
+    Err(OperatorError::Unauthenticated(Unauthenticated { remedy }))
 }
 
-fn bad_request(field: &str, remedy: &str) -> OperatorFault {
-    OperatorFault::BadRequest(BadRequest::new(field.to_owned(), remedy.to_owned()))
+fn bad_request(field: &str, remedy: &str) -> OperatorError {
+    OperatorError::BadRequest(BadRequest::new(field.to_owned(), remedy.to_owned()))
 }
 
-fn unavailable(reason: impl Into<String>) -> OperatorFault {
+fn unavailable(reason: impl Into<String>) -> OperatorError {
     /// Time after which a call may go through.
     const RETRY_AFTER_MS: i64 = 1000;
-    OperatorFault::Unavailable(Unavailable::new(reason.into(), RETRY_AFTER_MS))
+    OperatorError::Unavailable(Unavailable::new(reason.into(), RETRY_AFTER_MS))
 }
 
-fn plan(cx: &Context, text: &str) -> Result<Plan, OperatorFault> {
+fn plan(cx: &Context, text: &str) -> Result<Plan, OperatorError> {
     let file = ChangeFile::parse(text).map_err(|error| bad_request("change_file", &error.to_string()))?;
     let catalog = cx.shared.catalog.load();
     let changes = file.changes_against(&catalog.config);
@@ -217,7 +216,7 @@
     change_id: String,
     reason: String,
     changes: Vec<ScopedChange>,
-) -> Result<ChangeReply, OperatorFault> {
+) -> Result<ChangeReply, OperatorError> {
     if change_id.trim().is_empty() {
         return Err(bad_request("change_id", "must be an id that is new for each change; repeat it to retry"));
     }
@@ -278,13 +277,13 @@
     }
 }
 
-async fn members(cx: &Context) -> Result<Vec<(Member, bool)>, OperatorFault> {
+async fn members(cx: &Context) -> Result<Vec<(Member, bool)>, OperatorError> {
     let service = cx.find::<MembersMessage>(members::NAME).ok_or_else(|| unavailable("the VM is stopping"))?;
     let members = service.call(MembersMessage::Members, Some(ACCEPT_LIMIT)).await;
     members.ok().and_then(|members| members.success_or(()).ok()).ok_or_else(|| unavailable("the VM is stopping"))
 }
 
-fn show(cx: &Context, kind: &str) -> Result<Vec<ShownItem>, OperatorFault> {
+fn show(cx: &Context, kind: &str) -> Result<Vec<ShownItem>, OperatorError> {
     let kind = kind.trim().trim_end_matches('s');
     let matches =
         |it: &ScopeKind| kind.is_empty() || it.to_string() == kind || it.to_string().replace('_', "-") == kind;
@@ -304,7 +303,7 @@
 }
 
 /// Replays the stream from its beginning, so that the trail is the same from any VM.
-async fn audit(cx: &Context, from: Offset, limit: i32) -> Result<Vec<AuditEntry>, OperatorFault> {
+async fn audit(cx: &Context, from: Offset, limit: i32) -> Result<Vec<AuditEntry>, OperatorError> {
     let limit = usize::try_from(limit).unwrap_or_default();
     let mut config = Config::default();
     let mut entries = Vec::new();
@@ -356,7 +355,7 @@
     )
 }
 
-async fn status(cx: &Context) -> Result<FleetStatus, OperatorFault> {
+async fn status(cx: &Context) -> Result<FleetStatus, OperatorError> {
     let vms = members(cx).await?.into_iter().map(|(member, live)| vm_status(&member, live)).collect();
     let revision = cx.shared.catalog.load().config.revision.map(u64::cast_signed);
     Ok(FleetStatus::new(cx.shared.vm().clone(), revision, cx.shared.is_log_reachable(), vms))
@@ -379,7 +378,7 @@
     )
 }
 
-async fn drain(cx: &Context, author: &str, vm: String) -> Result<(), OperatorFault> {
+async fn drain(cx: &Context, author: &str, vm: String) -> Result<(), OperatorError> {
     log::info!(service = NAME, operator = author, vm = vm.as_str(); "drain asked for");
     if vm == *cx.shared.vm() {
         cx.shared.start_drain();
--- a/havengrade_router/src/services/peers/client.rs
+++ b/havengrade_router/src/services/peers/client.rs
@@ -6,7 +6,7 @@
 use futures::{SinkExt as _, StreamExt as _, future::join_all};
 use havengrade_core::membership::ListedVm;
 use havengrade_rpc::{
-    Frames, decode, encode, frames,
+    FramedStream, decode, encode, framed,
     peers::{PeerReply, PeerRequest},
 };
 use tokio::{sync::Mutex, time::timeout};
@@ -22,7 +22,7 @@
 #[derive(Clone)]
 pub(super) struct Peer {
     pub(super) listed: ListedVm,
-    connection: Arc<Mutex<Option<Frames<BoxConnection>>>>,
+    connection: Arc<Mutex<Option<FramedStream<BoxConnection>>>>,
 }
 
 /// Has the records held by so many peers; where not as many can be reached, by all that can.
@@ -73,7 +73,7 @@
     }
 }
 
-async fn exchange(cx: &Context, frames: &mut Frames<BoxConnection>, bytes: Bytes) -> Option<PeerReply> {
+async fn exchange(cx: &Context, frames: &mut FramedStream<BoxConnection>, bytes: Bytes) -> Option<PeerReply> {
     count_bytes(cx, "sent", bytes.len());
     frames.send(bytes).await.ok()?;
     let reply = frames.next().await?.ok()?;
@@ -81,9 +81,9 @@
     decode(&reply).ok()
 }
 
-async fn connect(cx: &Context, address: SocketAddr) -> Option<Frames<BoxConnection>> {
+async fn connect(cx: &Context, address: SocketAddr) -> Option<FramedStream<BoxConnection>> {
     let connection = cx.network.connect(address).await.ok()?;
-    Some(frames(connection, cx.shared.settings.limits.max_frame_bytes))
+    Some(framed(connection, cx.shared.settings.limits.max_frame_bytes))
 }
 
 /// Counts the bytes of a message, for whoever watches the budget of control.
--- a/havengrade_router/src/services/peers/server.rs
+++ b/havengrade_router/src/services/peers/server.rs
@@ -4,7 +4,7 @@
 use futures::{SinkExt as _, StreamExt as _};
 use havengrade_core::ledger::LedgerRecord;
 use havengrade_rpc::{
-    decode, encode, frames,
+    decode, encode, framed,
     peers::{
         PeerAnswer, PeerAsk, PeerDone, PeerDrain, PeerFetch, PeerHeld, PeerHold, PeerRecord, PeerRecords, PeerRelease,
         PeerReply, PeerRequest,
@@ -42,7 +42,7 @@
 }
 
 async fn serve_peer(cx: Context, connection: BoxConnection) {
-    let mut frames = frames(connection, cx.shared.settings.limits.max_frame_bytes);
+    let mut frames = framed(connection, cx.shared.settings.limits.max_frame_bytes);
     while let Some(frame) = frames.next().await {
         let request = match frame.map_err(|error| error.to_string()).and_then(|frame| {
             count_bytes(&cx, "received", frame.len());
--- a/havengrade_rpc/src/client.rs
+++ b/havengrade_rpc/src/client.rs
@@ -1,4 +1,4 @@
-//! The blocking client that operators' tools use.
+//! Blocking client for operators' tools.
 
 use std::{
     net::{SocketAddr, TcpStream},
@@ -17,17 +17,17 @@
     operators::OperatorsSyncClient,
 };
 
-/// A client of the operators' service.
+/// Client of the operators' service.
 pub type OperatorClient = OperatorsSyncClient<
     TBinaryInputProtocol<TFramedReadTransport<ReadHalf<TTcpChannel>>>,
     TBinaryOutputProtocol<TFramedWriteTransport<WriteHalf<TTcpChannel>>>,
 >;
 
-/// Connects to a VM's port for operators, waiting up to `timeout` for it and for each answer.
+/// Connects to a VM's port for operators. `timeout` applies to the connection and to each reply.
 ///
 /// # Errors
 ///
-/// [`RpcError::Connection`] where the VM can't be reached.
+/// [`RpcError::Connection`] if the connection can't be established.
 pub fn connect(address: SocketAddr, timeout: Duration) -> Result<OperatorClient, RpcError> {
     let at = address.to_string();
     let stream = TcpStream::connect_timeout(&address, timeout).context(ConnectionSnafu { address: &at })?;
--- a/havengrade_rpc/src/error.rs
+++ b/havengrade_rpc/src/error.rs
@@ -1,28 +1,28 @@
-//! Errors of messages and frames.
+//! Error type of this crate.
 
 use std::io;
 
 use snafu::Snafu;
 
-/// Why a message could not be read, written or answered.
+/// Error while reading, writing or answering a message.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RpcError {
-    /// The bytes are not a message of the schema.
+    /// The codec could not read or write the message.
     #[snafu(display("message: {source}"))]
     Message {
-        /// What the codec says.
+        /// Error of the codec.
         source: thrift::Error,
     },
     /// The connection failed.
     #[snafu(display("connection to {address}: {source}"))]
     Connection {
-        /// The other side.
+        /// Remote address.
         address: String,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A call was parsed without its arguments being given to the handler.
+    /// The processor accepted a frame without calling a handler.
     #[snafu(display("message: the call is not one of the schema"))]
     UnknownCall,
 }
--- a/havengrade_rpc/src/frame.rs
+++ b/havengrade_rpc/src/frame.rs
@@ -1,14 +1,14 @@
-//! Frames: a four-byte length before each message, as stock framed clients speak them.
+//! Framing: a four-byte length before each message, as in Thrift's framed transport.
 
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// A connection that carries frames.
-pub type Frames<S> = Framed<S, LengthDelimitedCodec>;
+/// Connection that carries length-delimited frames.
+pub type FramedStream<S> = Framed<S, LengthDelimitedCodec>;
 
-/// Reads and writes frames of up to `max_frame` bytes over a connection.
+/// Wraps a connection to read and write frames of up to `max_frame_bytes` bytes.
 ///
-/// A longer frame ends the connection with an error, before any of it is stored.
-pub fn frames<S: AsyncRead + AsyncWrite>(stream: S, max_frame: usize) -> Frames<S> {
-    LengthDelimitedCodec::builder().max_frame_length(max_frame).new_framed(stream)
+/// A longer frame results in an error before any of it is buffered.
+pub fn framed<S: AsyncRead + AsyncWrite>(stream: S, max_frame_bytes: usize) -> FramedStream<S> {
+    LengthDelimitedCodec::builder().max_frame_length(max_frame_bytes).new_framed(stream)
 }
--- a/havengrade_rpc/src/lib.rs
+++ b/havengrade_rpc/src/lib.rs
@@ -1,4 +1,4 @@
-//! Messages between havengrade's processes and from its operators, generated from `schema/`.
+//! Messages between havengrade's processes and for its operators, generated from `schema/`.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 #![cfg_attr(test, allow(clippy::unwrap_used))]
@@ -13,8 +13,8 @@
 pub use self::{
     client::{OperatorClient, connect},
     error::RpcError,
-    frame::{Frames, frames},
+    frame::{FramedStream, framed},
     generated::{operators, peers, reports},
-    operator::{OperatorCall, OperatorFault, OperatorReply, OperatorResult, answer_call, parse_call},
+    operator::{OperatorCall, OperatorError, OperatorReply, OperatorResult, decode_call, encode_reply},
     peer::{decode, encode},
 };
--- a/havengrade_rpc/src/operator.rs
+++ b/havengrade_rpc/src/operator.rs
@@ -1,8 +1,8 @@
-//! Operators' calls: parsed to typed values, carried out elsewhere, and answered in the schema's terms.
+//! Operators' calls: decodes calls to typed values and encodes the replies.
 //!
-//! The generated processor is synchronous, while a call may have to wait for the log. So a frame is run
-//! through it twice: once with a handler that only takes the call down, once with one that gives the
-//! answer.
+//! The generated processor is synchronous, while a call may have to wait for the log. Each frame is
+//! therefore processed twice: first with a handler that only records the call, then with a handler that
+//! returns the finished reply.
 
 use std::cell::RefCell;
 
@@ -20,10 +20,10 @@
         AuditEntry, BadRequest, ChangeReply, Credentials, FleetStatus, OperatorsSyncHandler, OperatorsSyncProcessor,
         Plan, ShownItem, Unauthenticated, Unavailable,
     },
-    peer::limits,
+    peer::protocol_limits,
 };
 
-/// An operator's call.
+/// Call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCall {
     /// Show what a change file would alter.
@@ -49,135 +49,135 @@
         /// Name of the version.
         version: String,
     },
-    /// Tell what became of a change.
+    /// Show the outcome of a change.
     Outcome {
         /// Id of the change, the same over retries.
         change_id: String,
     },
-    /// Show the items in force.
+    /// Show the items of the active configuration.
     Show {
-        /// Kind of the items; all where empty.
+        /// Kind of the items, or an empty string for all kinds.
         kind: String,
     },
     /// Show the audit trail.
     Audit {
         /// Offset of the first entry.
         from_offset: i64,
-        /// Most entries to show.
+        /// Maximum number of entries.
         limit: i32,
     },
-    /// Show the fleet.
+    /// Show the status of the fleet.
     Status,
-    /// Make a VM drain.
+    /// Drain a VM.
     Drain {
         /// Name of the VM.
         vm: String,
     },
 }
 
-/// An answer to an operator.
+/// Reply to an operator's call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorReply {
-    /// To a plan.
+    /// Reply to [`OperatorCall::Plan`].
     Plan(Plan),
-    /// To a change.
+    /// Reply to [`OperatorCall::Apply`], [`OperatorCall::Withdraw`] and [`OperatorCall::Outcome`].
     Change(ChangeReply),
-    /// To a request for items.
+    /// Reply to [`OperatorCall::Show`].
     Items(Vec<ShownItem>),
-    /// To a request for the audit trail.
+    /// Reply to [`OperatorCall::Audit`].
     Audit(Vec<AuditEntry>),
-    /// To a request for the fleet's status.
+    /// Reply to [`OperatorCall::Status`].
     Status(FleetStatus),
-    /// To a call that returns nothing.
-    Done,
+    /// Reply to [`OperatorCall::Drain`], which returns nothing.
+    Empty,
 }
 
-/// Why a call was not carried out.
+/// Reason why a call was not executed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OperatorFault {
-    /// The caller is not known.
+pub enum OperatorError {
+    /// The credentials are invalid.
     Unauthenticated(Unauthenticated),
-    /// A field can't be used.
+    /// A field is invalid.
     BadRequest(BadRequest),
-    /// The VM can't answer now.
+    /// The VM can't execute the call at present.
     Unavailable(Unavailable),
 }
 
-impl From<OperatorFault> for thrift::Error {
-    fn from(fault: OperatorFault) -> Self {
-        match fault {
-            OperatorFault::Unauthenticated(fault) => Self::User(Box::new(fault)),
-            OperatorFault::BadRequest(fault) => Self::User(Box::new(fault)),
-            OperatorFault::Unavailable(fault) => Self::User(Box::new(fault)),
+impl From<OperatorError> for thrift::Error {
+    fn from(error: OperatorError) -> Self {
+        match error {
+            OperatorError::Unauthenticated(error) => Self::User(Box::new(error)),
+            OperatorError::BadRequest(error) => Self::User(Box::new(error)),
+            OperatorError::Unavailable(error) => Self::User(Box::new(error)),
         }
     }
 }
 
-/// An answer, or why there is none.
-pub type OperatorResult = Result<OperatorReply, OperatorFault>;
+/// Result of an operator's call.
+pub type OperatorResult = Result<OperatorReply, OperatorError>;
 
-/// Reads a call and who makes it from a frame.
+/// Decodes a frame to the caller's credentials and the call.
 ///
 /// # Errors
 ///
-/// [`RpcError`] where the frame is no call of the schema.
-pub fn parse_call(frame: &[u8]) -> Result<(Credentials, OperatorCall), RpcError> {
+/// [`RpcError`] if the frame isn't a call of the schema.
+pub fn decode_call(frame: &[u8]) -> Result<(Credentials, OperatorCall), RpcError> {
     let recorder = Recorder::default();
     let processor = OperatorsSyncProcessor::new(&recorder);
     process(&processor, frame)?;
     recorder.call.take().context(UnknownCallSnafu)
 }
 
-/// Writes the answer to the call in a frame.
+/// Encodes the reply to the call in `frame`.
 ///
 /// # Errors
 ///
-/// [`RpcError`] where the frame is no call of the schema.
-pub fn answer_call(frame: &[u8], result: OperatorResult) -> Result<Vec<u8>, RpcError> {
-    let answerer = Answerer { result: RefCell::new(Some(result)) };
-    process(&OperatorsSyncProcessor::new(&answerer), frame)
+/// [`RpcError`] if the frame isn't a call of the schema.
+pub fn encode_reply(frame: &[u8], result: OperatorResult) -> Result<Vec<u8>, RpcError> {
+    let responder = Responder { result: RefCell::new(Some(result)) };
+    process(&OperatorsSyncProcessor::new(&responder), frame)
 }
 
 fn process<H: OperatorsSyncHandler>(processor: &OperatorsSyncProcessor<H>, frame: &[u8]) -> Result<Vec<u8>, RpcError> {
     let mut out = Vec::new();
-    let mut input = TBinaryInputProtocol::with_config(frame, true, limits(frame.len())?);
+    let mut input = TBinaryInputProtocol::with_config(frame, true, protocol_limits(frame.len())?);
     let mut output = TBinaryOutputProtocol::new(&mut out, true);
     processor.process(&mut input, &mut output).context(MessageSnafu)?;
     Ok(out)
 }
 
-/// Takes a call down without carrying it out.
+/// Handler that records a call without executing it.
 #[derive(Default)]
 struct Recorder {
     call: RefCell<Option<(Credentials, OperatorCall)>>,
 }
 
 impl Recorder {
-    fn take_down<T>(&self, credentials: Credentials, call: OperatorCall) -> thrift::Result<T> {
+    fn record_call<T>(&self, credentials: Credentials, call: OperatorCall) -> thrift::Result<T> {
         self.call.replace(Some((credentials, call)));
-        Err(wrong_answer())
+        Err(unexpected_reply())
     }
 }
 
-/// Gives an answer that was worked out before.
-struct Answerer {
+/// Handler that returns a finished result.
+struct Responder {
     result: RefCell<Option<OperatorResult>>,
 }
 
-impl Answerer {
+impl Responder {
     fn reply(&self) -> thrift::Result<OperatorReply> {
-        let result = self.result.take().ok_or_else(wrong_answer)?;
+        let result = self.result.take().ok_or_else(unexpected_reply)?;
         result.map_err(thrift::Error::from)
     }
 }
 
-fn wrong_answer() -> thrift::Error {
+fn unexpected_reply() -> thrift::Error {
     thrift::Error::Application(ApplicationError::new(ApplicationErrorKind::InternalError, "no answer of this type"))
 }
 
 impl OperatorsSyncHandler for &Recorder {
     fn handle_plan(&self, credentials: Credentials, change_file: String) -> thrift::Result<Plan> {
-        self.take_down(credentials, OperatorCall::Plan { change_file })
+        self.record_call(credentials, OperatorCall::Plan { change_file })
     }
 
     fn handle_apply(
@@ -187,7 +187,7 @@
         reason: String,
         changes_json: String,
     ) -> thrift::Result<ChangeReply> {
-        self.take_down(credentials, OperatorCall::Apply { change_id, reason, changes_json })
+        self.record_call(credentials, OperatorCall::Apply { change_id, reason, changes_json })
     }
 
     fn handle_withdraw(
@@ -197,84 +197,84 @@
         reason: String,
         version: String,
     ) -> thrift::Result<ChangeReply> {
-        self.take_down(credentials, OperatorCall::Withdraw { change_id, reason, version })
+        self.record_call(credentials, OperatorCall::Withdraw { change_id, reason, version })
     }
 
     fn handle_outcome(&self, credentials: Credentials, change_id: String) -> thrift::Result<ChangeReply> {
-        self.take_down(credentials, OperatorCall::Outcome { change_id })
+        self.record_call(credentials, OperatorCall::Outcome { change_id })
     }
 
     fn handle_show(&self, credentials: Credentials, kind: String) -> thrift::Result<Vec<ShownItem>> {
-        self.take_down(credentials, OperatorCall::Show { kind })
+        self.record_call(credentials, OperatorCall::Show { kind })
     }
 
     fn handle_audit(&self, credentials: Credentials, from_offset: i64, limit: i32) -> thrift::Result<Vec<AuditEntry>> {
-        self.take_down(credentials, OperatorCall::Audit { from_offset, limit })
+        self.record_call(credentials, OperatorCall::Audit { from_offset, limit })
     }
 
     fn handle_status(&self, credentials: Credentials) -> thrift::Result<FleetStatus> {
-        self.take_down(credentials, OperatorCall::Status)
+        self.record_call(credentials, OperatorCall::Status)
     }
 
     fn handle_drain(&self, credentials: Credentials, vm: String) -> thrift::Result<()> {
-        self.take_down(credentials, OperatorCall::Drain { vm })
+        self.record_call(credentials, OperatorCall::Drain { vm })
     }
 }
 
-impl OperatorsSyncHandler for &Answerer {
+impl OperatorsSyncHandler for &Responder {
     fn handle_plan(&self, _: Credentials, _: String) -> thrift::Result<Plan> {
         match self.reply()? {
             OperatorReply::Plan(reply) => Ok(reply),
-            _ => Err(wrong_answer()),
+            _ => Err(unexpected_reply()),
         }
     }
 
     fn handle_apply(&self, _: Credentials, _: String, _: String, _: String) -> thrift::Result<ChangeReply> {
         match self.reply()? {
             OperatorReply::Change(reply) => Ok(reply),
-            _ => Err(wrong_answer()),
+            _ => Err(unexpected_reply()),
         }
     }
 
     fn handle_withdraw(&self, _: Credentials, _: String, _: String, _: String) -> thrift::Result<ChangeReply> {
         match self.reply()? {
             OperatorReply::Change(reply) => Ok(reply),
-            _ => Err(wrong_answer()),
+            _ => Err(unexpected_reply()),
         }
     }
 
     fn handle_outcome(&self, _: Credentials, _: String) -> thrift::Result<ChangeReply> {
         match self.reply()? {
             OperatorReply::Change(reply) => Ok(reply),
-            _ => Err(wrong_answer()),
+            _ => Err(unexpected_reply()),
         }
     }
 
     fn handle_show(&self, _: Credentials, _: String) -> thrift::Result<Vec<ShownItem>> {
         match self.reply()? {
             OperatorReply::Items(reply) => Ok(reply),
-            _ => Err(wrong_answer()),
+            _ => Err(unexpected_reply()),
         }
     }
 
     fn handle_audit(&self, _: Credentials, _: i64, _: i32) -> thrift::Result<Vec<AuditEntry>> {
         match self.reply()? {
             OperatorReply::Audit(reply) => Ok(reply),
-            _ => Err(wrong_answer()),
+            _ => Err(unexpected_reply()),
         }
     }
 
     fn handle_status(&self, _: Credentials) -> thrift::Result<FleetStatus> {
         match self.reply()? {
             OperatorReply::Status(reply) => Ok(reply),
-            _ => Err(wrong_answer()),
+            _ => Err(unexpected_reply()),
         }
     }
 
     fn handle_drain(&self, _: Credentials, _: String) -> thrift::Result<()> {
         match self.reply()? {
-            OperatorReply::Done => Ok(()),
-            _ => Err(wrong_answer()),
+            OperatorReply::Empty => Ok(()),
+            _ => Err(unexpected_reply()),
         }
     }
 }
--- a/havengrade_rpc/src/peer.rs
+++ b/havengrade_rpc/src/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between VMs, in the compact protocol.
+//! Codec of the messages between VMs, in Thrift's compact protocol.
 
 use snafu::ResultExt as _;
 use thrift::{
@@ -8,14 +8,14 @@
 
 use crate::{RpcError, error::MessageSnafu};
 
-/// Most elements of a list in a message, so that a false length can't take memory.
+/// Maximum number of elements in a container, so that a forged length can't exhaust memory.
 const MAX_ELEMENTS: usize = 65_536;
 
-/// Writes a message.
+/// Encodes a message.
 ///
 /// # Errors
 ///
-/// [`RpcError::Message`] where the codec refuses it.
+/// [`RpcError::Message`] if the codec rejects the message.
 ///
 /// ```
 /// use havengrade_rpc::{decode, encode, peers::{PeerDrain, PeerRequest}};
@@ -31,18 +31,18 @@
     Ok(buf)
 }
 
-/// Reads a message.
+/// Decodes a message.
 ///
 /// # Errors
 ///
-/// [`RpcError::Message`] for bytes that are not one.
+/// [`RpcError::Message`] if the bytes aren't a valid message.
 pub fn decode<M: TSerializable>(bytes: &[u8]) -> Result<M, RpcError> {
-    let mut protocol = TCompactInputProtocol::with_config(bytes, limits(bytes.len())?);
+    let mut protocol = TCompactInputProtocol::with_config(bytes, protocol_limits(bytes.len())?);
     M::read_from_in_protocol(&mut protocol).context(MessageSnafu)
 }
 
-/// What a message of this many bytes can hold at the most.
-pub(crate) fn limits(bytes: usize) -> Result<TConfiguration, RpcError> {
+/// Returns the protocol protocol_limits for a message of this many bytes.
+pub(crate) fn protocol_limits(bytes: usize) -> Result<TConfiguration, RpcError> {
     TConfiguration::builder()
         .max_container_size(Some(MAX_ELEMENTS))
         .max_string_size(Some(bytes.max(1)))
