--- a/havengrade_core/src/gossip.rs
+++ b/havengrade_core/src/gossip.rs
@@ -1,5 +1,5 @@
-//! Rules that all reports between VMs share: how often an entry is repeated, which entries the next report carries, and the
-//! time of a reported observation.
+//! Rules that all reports between VMs share: how often an entry is repeated, which entries the next report carries, and
+//! the time of a reported observation.
 
 use std::time::{Duration, SystemTime};
 
@@ -10,8 +10,8 @@
 /// Highest number of other entries that a report repeats, in rotation, for VMs that missed all earlier reports of them.
 const MAX_REPEATED_ENTRIES: usize = 2;
 
-/// The entries of the next report, from all entries and the number of reports that carried each of them: those that were not
-/// reported often enough, or else a few of the others, the least reported first.
+/// The entries of the next report, from all entries and the number of reports that carried each of them: those that
+/// were not reported often enough, or else a few of the others, the least reported first.
 pub(crate) fn least_reported<T: Ord>(all: impl Iterator<Item = (T, u32)>) -> Vec<T> {
     let mut all: Vec<(u32, T)> = all.map(|(entry, report_count)| (report_count, entry)).collect();
     all.sort();
@@ -20,8 +20,8 @@
     all.into_iter().map(|(_, entry)| entry).collect()
 }
 
-/// Upper bound on the one-way delay of a report, so that an observation that comes back by way of other VMs never looks newer
-/// than it was.
+/// Upper bound on the one-way delay of a report, so that an observation that comes back by way of other VMs never looks
+/// newer than it was.
 const MAX_ONE_WAY_DELAY: Duration = Duration::from_millis(50);
 
 /// The time of an observation that another VM reports with its age; the Unix epoch if the age is out of range.
--- a/havengrade_core/src/published/answer_window.rs
+++ b/havengrade_core/src/published/answer_window.rs
@@ -1,4 +1,5 @@
-//! Answers and errors of the last seconds by endpoint, which show whether a version is faulty or only some of its endpoints.
+//! Answers and errors of the last seconds by endpoint, which show whether a version is faulty or only some of its
+//! endpoints.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -10,8 +11,8 @@
     published::peers::REPORT_LIFETIME,
 };
 
-/// Length of the window: a service with 25 requests a second, of which half go to a route that fails a third of them, gives its
-/// fiftieth error after twelve seconds.
+/// Length of the window: a service with 25 requests a second, of which half go to a route that fails a third of them,
+/// gives its fiftieth error after twelve seconds.
 const WINDOW: Duration = Duration::from_secs(12);
 /// Length of a slice of the window, whose answers are counted together.
 const SLICE: Duration = Duration::from_millis(500);
@@ -127,7 +128,8 @@
     }
 }
 
-/// Whether errors are the fault of a version: there are at least `min_errors`, and nearly all of its endpoints give them.
+/// Whether errors are the fault of a version: there are at least `min_errors`, and nearly all of its endpoints give
+/// them.
 pub(super) fn is_version_faulty(local: &RecentAnswerCounts, remote: &RemoteAnswerCounts, min_errors: u64) -> bool {
     let vms = remote.by_vm.values().map(|(_, counts)| counts).chain([local]);
     let mut by_endpoint: BTreeMap<&EndpointId, AnswerCounts> = BTreeMap::new();
--- a/havengrade_core/src/published/attempt_stats.rs
+++ b/havengrade_core/src/published/attempt_stats.rs
@@ -1,4 +1,4 @@
-//! What VMs saw of the versions of a service: counters of each run that only grow, and their sums.
+//! Statistics of a service's versions: counters of each VM incarnation that only grow, and their sums.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -9,45 +9,46 @@
     published::{directory::SoftwareVersion, route::RouteId, time_histogram::TimeHistogramByLoad},
 };
 
-/// Stands in the name of a kind of request between the route and the model.
+/// Separates the route from the model in the name of a request kind.
 pub const KIND_SEPARATOR: char = '/';
 
-/// A kind of request, whose answers are compared with each other: a route, and the model where it has several.
-pub(super) type Kind = String;
+/// A kind of request, within which answers are compared: a route, and the model where the route has several.
+pub(super) type RequestKind = String;
 
-/// The route of a kind.
+/// The route of a request kind.
 pub(super) fn route_of(kind: &str) -> &str {
     kind.split_once(KIND_SEPARATOR).map_or(kind, |(route, _)| route)
 }
 
-/// What was seen of a version in one kind of request.
+/// Statistics of the attempts at a version for one kind of request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptStats {
-    /// Tries that ended, with an answer or without one.
+    /// Attempts that ended, with or without an answer.
     pub ended: u64,
-    /// Tries that ended in an error or a broken answer.
+    /// Attempts that ended in an error or a broken answer.
     pub failed: u64,
-    /// Tries that ended in an error which is surely the endpoint's own; they are counted as failed as well.
+    /// Attempts that ended in an error which the endpoint certainly caused itself; they are counted in `failed` as
+    /// well.
     pub errors: u64,
-    /// TimeHistogram to the first byte, for the size of the work; where a try was given up, the time that was waited.
+    /// Times to the first byte per unit of work. An attempt that was given up counts with the time that was waited.
     pub first: TimeHistogramByLoad,
-    /// TimeHistogram between two events of a stream.
+    /// Times between two events of a stream.
     pub pace: TimeHistogramByLoad,
 }
 
 impl AttemptStats {
-    /// A number that grows with each count.
-    pub(super) fn weight(&self) -> u64 {
+    /// Number of counted values, which grows with each update.
+    pub(super) fn value_count(&self) -> u64 {
         self.ended + self.first.total() + self.pace.total()
     }
 
-    /// Tries of which it is known how they began: with a first byte, after some waiting, or with an error. A stream that still
-    /// runs is among them.
-    pub(super) fn begun(&self) -> u64 {
+    /// Attempts whose start was observed: a first byte, a wait that was given up, or an error. They include streams
+    /// that are still in progress.
+    pub(super) fn observed_starts(&self) -> u64 {
         self.first.total() + self.errors
     }
 
-    /// Adds what was seen elsewhere.
+    /// Adds other statistics.
     pub(super) fn merge(&mut self, other: &Self) {
         self.ended += other.ended;
         self.failed += other.failed;
@@ -56,7 +57,7 @@
         self.pace.merge(&other.pace);
     }
 
-    /// What was seen since an earlier state of the same counters.
+    /// The difference to an earlier state of the same counters.
     #[must_use]
     pub(super) fn since(&self, earlier: &Self) -> Self {
         Self {
@@ -69,68 +70,70 @@
     }
 }
 
-/// What a run of a VM saw of a version of a service in one kind of request, since the roll-out was ordered.
+/// Statistics that one VM incarnation has gathered on a version for one kind of request, since the roll-out was
+/// ordered.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteEvidence {
     /// The service.
     pub service: ServiceId,
-    /// The new version, or an empty text for all others.
+    /// The new version, or an empty string for all other versions.
     pub version: SoftwareVersion,
     /// The kind of request.
     pub route: RouteId,
-    /// Its counters.
+    /// The statistics.
     pub seen: AttemptStats,
 }
 
-/// What all runs that are known saw of one version, by kind of request.
+/// Statistics of one version from all known VM incarnations, by kind of request.
 #[derive(Clone, Debug, Default)]
 pub(super) struct VersionStats {
-    by_writer: HashMap<Kind, HashMap<Incarnation, AttemptStats>>,
-    sums: BTreeMap<Kind, AttemptStats>,
+    by_writer: HashMap<RequestKind, HashMap<Incarnation, AttemptStats>>,
+    sums: BTreeMap<RequestKind, AttemptStats>,
 }
 
 impl VersionStats {
-    /// Takes the counters of a run; gives what is new in them, since they only grow and older ones say nothing.
-    pub(super) fn merge(&mut self, kind: &str, writer: Incarnation, seen: &AttemptStats) -> Option<AttemptStats> {
+    /// Replaces the counters of an incarnation and returns what was added to them. Counters only grow, so that older
+    /// ones have no effect.
+    pub(super) fn merge(&mut self, kind: &str, writer: Incarnation, stats: &AttemptStats) -> Option<AttemptStats> {
         let writers = self.by_writer.entry(kind.to_owned()).or_default();
         let known = writers.entry(writer).or_default();
-        if seen.weight() <= known.weight() {
+        if stats.value_count() <= known.value_count() {
             return None;
         }
-        let news = seen.since(known);
-        *known = seen.clone();
-        self.sums.entry(kind.to_owned()).or_default().merge(&news);
-        Some(news)
+        let added = stats.since(known);
+        *known = stats.clone();
+        self.sums.entry(kind.to_owned()).or_default().merge(&added);
+        Some(added)
     }
 
-    /// Adds to a run's own counters.
+    /// Adds to the counters of an incarnation.
     pub(super) fn add(&mut self, kind: &str, writer: Incarnation, more: &AttemptStats) {
         let writers = self.by_writer.entry(kind.to_owned()).or_default();
         writers.entry(writer).or_default().merge(more);
         self.sums.entry(kind.to_owned()).or_default().merge(more);
     }
 
-    /// The sums over all runs, by kind.
-    pub(super) fn sums(&self) -> &BTreeMap<Kind, AttemptStats> {
+    /// The sums over all incarnations, by kind.
+    pub(super) fn sums(&self) -> &BTreeMap<RequestKind, AttemptStats> {
         &self.sums
     }
 
-    /// The sum of a kind.
+    /// The sum for one kind.
     pub(super) fn sum(&self, kind: &str) -> Option<&AttemptStats> {
         self.sums.get(kind)
     }
 
-    /// Tries of all kinds of which it is known how they began.
-    pub(super) fn begun(&self) -> u64 {
-        self.sums.values().map(AttemptStats::begun).sum()
+    /// Attempts of all kinds whose start was observed.
+    pub(super) fn observed_starts(&self) -> u64 {
+        self.sums.values().map(AttemptStats::observed_starts).sum()
     }
 
-    /// A run's own counters, by kind.
-    pub(super) fn own(&self, writer: Incarnation) -> impl Iterator<Item = (&Kind, &AttemptStats)> {
+    /// The counters of one incarnation, by kind.
+    pub(super) fn of_writer(&self, writer: Incarnation) -> impl Iterator<Item = (&RequestKind, &AttemptStats)> {
         self.by_writer.iter().filter_map(move |(kind, writers)| Some((kind, writers.get(&writer)?)))
     }
 
-    /// The runs whose counters are known.
+    /// The incarnations whose counters are known.
     pub(super) fn writers(&self) -> HashSet<Incarnation> {
         self.by_writer.values().flat_map(HashMap::keys).copied().collect()
     }
--- a/havengrade_core/src/published/evidence_summary.rs
+++ b/havengrade_core/src/published/evidence_summary.rs
@@ -52,8 +52,8 @@
     pub age: Duration,
     /// Logarithm of the odds that the version is worse than the others, by all evidence.
     pub log_odds: f64,
-    /// Logarithm of the odds that the version has become worse; after its success, by errors alone, since only those are
-    /// certainly caused by the version.
+    /// Logarithm of the odds that the version has become worse; after its success, by errors alone, since only those
+    /// are certainly caused by the version.
     pub degradation_log_odds: f64,
     /// Counts of the new version.
     pub new: VersionCounts,
--- a/havengrade_core/src/published/halt.rs
+++ b/havengrade_core/src/published/halt.rs
@@ -1,4 +1,4 @@
-//! Judging a version by what was seen of it: when it gets nothing more.
+//! Decides from the evidence when a version is halted, so that it gets no more requests.
 
 use std::time::SystemTime;
 
@@ -12,29 +12,31 @@
     },
 };
 
-/// Logarithm of the odds against "as good as the old one" at which a version is rolled back.
+/// Log odds against "as good as the baseline" above which a version is halted.
 ///
-/// A version as good as the old one reaches it in one roll-out out of twenty (Ville's inequality). One that is
-/// rolled back by mistake is ordered again; one that is let through by mistake fails its callers.
-const HALT_ODDS: f64 = 3.0;
-/// The same for bets that forget what they have lost, which win by chance more often.
-const TURN_ODDS: f64 = 6.5;
-/// Logarithm of the odds at which a version that has succeeded is rolled back. No other one may be left then, so that a mistake
-/// takes the service away: the odds are higher, only errors that endpoints signed count, and nearly all endpoints must give them.
-/// Slow answers don't count: after a start of all VMs a good version was halted for them, since all callers come back at once.
-const WATCH_ODDS: f64 = 10.0;
-/// Errors of the last seconds below which a version that has succeeded is not rolled back.
-const WATCH_ERRORS: u64 = 20;
-/// Errors of the last seconds from which on a VM tells the others by which endpoints they were given.
-const TELLING_ERRORS: u64 = 2;
-/// Why a version gets nothing more.
+/// A version as good as the baseline exceeds them in one roll-out out of twenty (Ville's inequality). A version that is
+/// rolled back by mistake can be ordered again; one that is accepted by mistake fails its callers.
+const HALT_LOG_ODDS: f64 = 3.0;
+/// The same for the degradation test, which exceeds a threshold by chance more often, since its ratios don't fall below
+/// zero.
+const DEGRADATION_LOG_ODDS: f64 = 6.5;
+/// Log odds above which a version that has succeeded is halted. The old version may be gone by then, so that a mistake
+/// makes the service unavailable: the odds are higher, only errors that endpoints signed count, and nearly all
+/// endpoints must give them. Slow answers don't count: after a restart of all VMs a good version was halted for them,
+/// since all callers return at once.
+const POST_SUCCESS_LOG_ODDS: f64 = 10.0;
+/// Number of errors in the answer window below which a version that has succeeded is not halted.
+const MIN_POST_SUCCESS_ERRORS: u64 = 20;
+/// Number of errors in the answer window from which a VM reports its answers by endpoint.
+const MIN_ERRORS_TO_ATTRIBUTE: u64 = 2;
+/// Why a version was halted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HaltReason {
-    /// Its answers are worse than the old one's.
+    /// Its answers are worse than those of the old version.
     Worse,
-    /// They were as good, and have turned worse.
+    /// Its answers were as good as those of the old version and have become worse.
     Degraded,
-    /// It had succeeded, and nearly all its endpoints give errors now.
+    /// The version had succeeded, and nearly all its endpoints give errors now.
     FailedAfterSuccess,
 }
 
@@ -49,88 +51,88 @@
     }
 }
 
-/// What one VM makes of a version.
+/// State of one VM's tests of a version.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HaltDetector {
-    /// Logarithm of the odds that the version is worse than the old one, by all that was seen.
-    odds: f64,
-    /// Bets on a turn for the worse before the version succeeds.
-    turn: DegradationTest,
-    /// The same after it, on errors alone.
-    watch: DegradationTest,
-    recent: LocalAnswerWindow,
-    heard: RemoteAnswerCounts,
-    /// Why the version gets nothing more; kept, since good answers of later say nothing against it.
+    /// Logarithm of the odds that the version is worse than the baseline, by all evidence.
+    log_odds: f64,
+    /// Test for a degradation before the version succeeds.
+    degradation: DegradationTest,
+    /// Test for a degradation after the version has succeeded, by errors alone.
+    post_success: DegradationTest,
+    local: LocalAnswerWindow,
+    remote: RemoteAnswerCounts,
+    /// Why the version was halted. A halt is permanent: later good answers don't undo it.
     halt: Option<HaltReason>,
 }
 
 impl HaltDetector {
-    /// Notes that an endpoint of the new version gave an answer or an error.
-    pub(super) fn note(&mut self, endpoint: &str, is_error: bool, now: SystemTime) {
-        self.recent.record(endpoint, is_error, now);
+    /// Records an answer or an error of an endpoint of the new version.
+    pub(super) fn record(&mut self, endpoint: &str, is_error: bool, now: SystemTime) {
+        self.local.record(endpoint, is_error, now);
     }
 
-    /// What this VM saw lately, for the others to tell whom to blame; where there are hardly any errors, in one sum.
-    pub(super) fn tell(&self, now: SystemTime) -> RecentAnswerCounts {
-        let seen = self.recent.counts(now);
-        if seen.sum().errors >= TELLING_ERRORS { seen } else { seen.without_endpoints() }
+    /// The recent answers that this VM reports; by endpoint only if there are enough errors to attribute.
+    pub(super) fn recent_counts(&self, now: SystemTime) -> RecentAnswerCounts {
+        let counts = self.local.counts(now);
+        if counts.sum().errors >= MIN_ERRORS_TO_ATTRIBUTE { counts } else { counts.without_endpoints() }
     }
 
-    /// Takes what another VM saw lately.
-    pub(super) fn hear(&mut self, from: Incarnation, seen: RecentAnswerCounts, now: SystemTime) {
-        self.heard.merge(from, seen, now);
+    /// Merges the recent answers that another VM reported.
+    pub(super) fn merge_counts(&mut self, from: Incarnation, counts: RecentAnswerCounts, now: SystemTime) {
+        self.remote.merge(from, counts, now);
     }
 
-    /// Why the version gets nothing more, if so.
+    /// Why the version is halted, if it is.
     ///
-    /// What was found before a success is no longer enough after it: with the old version gone, a mistake costs more.
+    /// A halt from before the success does not hold after it: with the old version gone, a mistake costs more.
     pub(super) fn halt(&self, outcome: RolloutOutcome) -> Option<HaltReason> {
         self.halt.filter(|halt| outcome != RolloutOutcome::Succeeded || *halt == HaltReason::FailedAfterSuccess)
     }
 
-    /// Takes it from another VM that the version is to get nothing more; tells whether that is new.
-    pub(super) fn learn(&mut self, halt: HaltReason, outcome: RolloutOutcome) -> bool {
-        let is_news = self.halt(outcome).is_none() && self.halt != Some(halt);
-        if is_news {
+    /// Applies a halt that another VM reported. Returns whether it is new.
+    pub(super) fn merge_halt(&mut self, halt: HaltReason, outcome: RolloutOutcome) -> bool {
+        let is_new = self.halt(outcome).is_none() && self.halt != Some(halt);
+        if is_new {
             self.halt = Some(halt);
         }
-        is_news
+        is_new
     }
 
-    /// Logarithm of the odds against the version, by all that was seen.
-    pub(super) fn odds(&self) -> f64 {
-        self.odds
+    /// Logarithm of the odds that the version is worse than the baseline, by all evidence.
+    pub(super) fn log_odds(&self) -> f64 {
+        self.log_odds
     }
 
-    /// The same by bets on a turn for the worse.
-    pub(super) fn turn_odds(&self, outcome: RolloutOutcome) -> f64 {
-        if outcome == RolloutOutcome::Running { self.turn.odds() } else { self.watch.odds() }
+    /// Logarithm of the odds that the version has become worse.
+    pub(super) fn degradation_log_odds(&self, outcome: RolloutOutcome) -> f64 {
+        if outcome == RolloutOutcome::Running { self.degradation.log_odds() } else { self.post_success.log_odds() }
     }
 
-    /// Judges the version by what is known now.
-    pub(super) fn judge(&mut self, versions: &mut VersionComparison, outcome: RolloutOutcome, now: SystemTime) {
-        self.recent.prune(now);
-        self.heard.prune(now);
-        let fresh = versions.take_fresh();
-        if fresh.is_empty() || self.halt(outcome).is_some() {
+    /// Evaluates the evidence that is known at `now`.
+    pub(super) fn evaluate(&mut self, versions: &mut VersionComparison, outcome: RolloutOutcome, now: SystemTime) {
+        self.local.prune(now);
+        self.remote.prune(now);
+        let unevaluated = versions.take_unevaluated();
+        if unevaluated.is_empty() || self.halt(outcome).is_some() {
             return;
         }
-        let compared = versions.compare(fresh.iter());
+        let compared = versions.compare(unevaluated.iter());
         match outcome {
-            RolloutOutcome::Running => self.turn.bet(compared),
-            _ => self.watch.bet_on_errors(compared),
+            RolloutOutcome::Running => self.degradation.add(compared),
+            _ => self.post_success.add_errors(compared),
         }
-        self.odds = likelihood::log_odds(versions.compared());
+        self.log_odds = likelihood::log_odds(versions.compare_all());
         self.halt = self.find_halt(outcome, now).or(self.halt);
     }
 
     fn find_halt(&self, outcome: RolloutOutcome, now: SystemTime) -> Option<HaltReason> {
         match outcome {
-            RolloutOutcome::Running if self.odds > HALT_ODDS => Some(HaltReason::Worse),
-            RolloutOutcome::Running if self.turn.odds() > TURN_ODDS => Some(HaltReason::Degraded),
-            RolloutOutcome::Succeeded if self.watch.odds() > WATCH_ODDS => {
-                let is_to_blame = is_version_faulty(&self.recent.counts(now), &self.heard, WATCH_ERRORS);
-                is_to_blame.then_some(HaltReason::FailedAfterSuccess)
+            RolloutOutcome::Running if self.log_odds > HALT_LOG_ODDS => Some(HaltReason::Worse),
+            RolloutOutcome::Running if self.degradation.log_odds() > DEGRADATION_LOG_ODDS => Some(HaltReason::Degraded),
+            RolloutOutcome::Succeeded if self.post_success.log_odds() > POST_SUCCESS_LOG_ODDS => {
+                let is_faulty = is_version_faulty(&self.local.counts(now), &self.remote, MIN_POST_SUCCESS_ERRORS);
+                is_faulty.then_some(HaltReason::FailedAfterSuccess)
             },
             _ => None,
         }
--- a/havengrade_core/src/published/likelihood.rs
+++ b/havengrade_core/src/published/likelihood.rs
@@ -1,4 +1,4 @@
-//! Bets that a new version is worse than the old one, which win only if it is.
+//! Sequential tests of whether a new version is worse than the baseline, by likelihood ratios.
 
 use std::collections::BTreeMap;
 
@@ -8,216 +8,220 @@
     time_histogram::{TimeHistogram, TimeHistogramByLoad, scaled_bucket},
 };
 
-/// Rises of a share that are bet on, in equal parts.
-const RISES: [f64; 3] = [0.1, 0.25, 0.5];
-/// Rise of a share that is accepted, so that a share of nought does not make one bad answer a proof.
-const ACCEPTED_RISE: f64 = 0.02;
-/// Highest share that is bet on.
-const MOST_FEARED: f64 = 0.95;
-/// Answers of the old version below which it is not known what is usual; as many as are missing are taken to be like
-/// those of a service of which one request in ten fails.
-const KNOWN_ANSWERS: f64 = 40.0;
-/// Share of requests that fail where nothing is known: that of the worst service seen, and not so high that a version
-/// that fails a third of its requests passes for usual.
-const UNKNOWN_SHARE: f64 = 0.1;
-/// TimeHistogram of the old version below which it is not known what is slow.
-const KNOWN_TIMES: u64 = 10;
-/// What is slow, in two ways: slower than a share of the old version's answers, and at least so many times slower than its median,
-/// so that small differences between versions don't count. The first one shows versions of which all answers are somewhat slow,
-/// the second one those of which some are very slow.
-const SLOW: [(f64, f64); 2] = [(0.75, 1.5), (0.9, 2.0)];
-
-/// Ways in which answers are bad, which are bet on apart: a service of which many answers are slow would otherwise
-/// hide that a version fails.
-const WAYS: usize = 1 + 2 * SLOW.len();
-
-/// Logarithm of what a bet has won; none where nothing was seen that it could win or lose by.
-type Bet = Option<f64>;
-/// What bets on one way have won, by the rise that they are on.
-type Bets = [Bet; RISES.len()];
-/// What bets on all ways have won.
-type Won = [Bets; WAYS];
-
-/// How many of some answers are bad.
+/// Increases of the rate of bad answers that are tested as alternatives, with equal weights.
+const RATE_INCREASES: [f64; 3] = [0.1, 0.25, 0.5];
+/// Increase of the rate that is tolerated, so that a baseline rate of zero does not make one bad answer a proof.
+const TOLERATED_INCREASE: f64 = 0.02;
+/// Highest rate of bad answers that is tested as an alternative.
+const MAX_ALTERNATIVE_RATE: f64 = 0.95;
+/// Number of baseline answers below which the baseline failure rate is not known. The missing answers are assumed to
+/// fail at [`PRIOR_FAILURE_RATE`].
+const MIN_BASELINE_ANSWERS: f64 = 40.0;
+/// Failure rate where nothing is known: that of the worst service observed, and low enough that a version which fails a
+/// third of its requests does not pass as normal.
+const PRIOR_FAILURE_RATE: f64 = 0.1;
+/// Number of baseline times below which it is not known which times are slow.
+const MIN_BASELINE_TIMES: u64 = 10;
+/// Two thresholds above which a time is slow, each a quantile of the baseline's times and a factor on their median. A
+/// slow time exceeds both values, so that small differences between versions don't count. The first threshold shows
+/// versions of which all answers are somewhat slow, the second one versions of which some answers are very slow.
+const SLOW_THRESHOLDS: [(f64, f64); 2] = [(0.75, 1.5), (0.9, 2.0)];
+
+/// Number of criteria by which an answer is bad, each of which is tested separately. With a single test for all
+/// criteria, a service with many slow answers would hide that a version fails.
+const CRITERIA: usize = 1 + 2 * SLOW_THRESHOLDS.len();
+
+/// Logarithm of a likelihood ratio; `None` without observations.
+type LogRatio = Option<f64>;
+/// Log likelihood ratios of one criterion, one for each of [`RATE_INCREASES`].
+type IncreaseRatios = [LogRatio; RATE_INCREASES.len()];
+/// Log likelihood ratios of all criteria.
+type CriteriaRatios = [IncreaseRatios; CRITERIA];
+
+/// A number of answers, and of the bad ones among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Share {
+pub(super) struct BadCount {
     pub(super) bad: f64,
-    pub(super) of: f64,
-}
-
-/// What is usual for one way of being bad: the upper end of what the old version's answers leave open, so that few of
-/// them prove nothing.
-fn usual(old: Share) -> f64 {
-    let answers = old.of + 4.0;
-    let rate = (old.bad + 1.0) / answers;
-    (rate + (rate * (1.0 - rate) / answers).sqrt() + ACCEPTED_RISE).min(0.9)
-}
-
-/// What is won on each rise by a version's answers against what is usual.
-fn won(new: Share, usual: f64) -> Bets {
-    let fine = new.of - new.bad;
-    RISES.map(|rise| {
-        let feared = (usual + rise).min(MOST_FEARED);
-        let won = new.bad.mul_add((feared / usual).ln(), fine * ((1.0 - feared) / (1.0 - usual)).ln());
-        (new.of > 0.0).then_some(won)
+    pub(super) total: f64,
+}
+
+/// The baseline rate of bad answers for one criterion: the upper end of the confidence interval, so that few answers
+/// prove nothing.
+fn baseline_rate(baseline: BadCount) -> f64 {
+    let answers = baseline.total + 4.0;
+    let rate = (baseline.bad + 1.0) / answers;
+    (rate + (rate * (1.0 - rate) / answers).sqrt() + TOLERATED_INCREASE).min(0.9)
+}
+
+/// Log likelihood ratios of a version's answers, for each increased rate against the baseline rate.
+fn log_ratios(new: BadCount, baseline_rate: f64) -> IncreaseRatios {
+    let good = new.total - new.bad;
+    RATE_INCREASES.map(|increase| {
+        let alternative = (baseline_rate + increase).min(MAX_ALTERNATIVE_RATE);
+        let log_ratio = new
+            .bad
+            .mul_add((alternative / baseline_rate).ln(), good * ((1.0 - alternative) / (1.0 - baseline_rate)).ln());
+        (new.total > 0.0).then_some(log_ratio)
     })
 }
 
-/// Failures of the old version, filled up where there are few.
-fn failures(old: &AttemptStats) -> Share {
-    let known = Share { bad: old.failed as f64, of: old.ended as f64 };
-    let missing = (KNOWN_ANSWERS - known.of).max(0.0);
-    Share { bad: missing.mul_add(UNKNOWN_SHARE, known.bad), of: known.of + missing }
+/// Failures of the baseline, supplemented with assumed answers where there are few.
+fn baseline_failures(baseline: &AttemptStats) -> BadCount {
+    let known = BadCount { bad: baseline.failed as f64, total: baseline.ended as f64 };
+    let missing = (MIN_BASELINE_ANSWERS - known.total).max(0.0);
+    BadCount { bad: missing.mul_add(PRIOR_FAILURE_RATE, known.bad), total: known.total + missing }
 }
 
-/// The bucket above which an answer is slow in one way, by the old version's times; none where it is not known.
-fn slow_above(old: &TimeHistogram, (quantile, factor): (f64, f64)) -> Option<usize> {
-    if old.total() < KNOWN_TIMES {
+/// The histogram bucket above which a time is slow by one threshold; `None` if too few times of the baseline are known.
+fn slow_bucket(baseline: &TimeHistogram, (quantile, factor): (f64, f64)) -> Option<usize> {
+    if baseline.total() < MIN_BASELINE_TIMES {
         return None;
     }
-    Some(old.quantile(quantile)?.max(scaled_bucket(old.quantile(0.5)?, factor)))
+    Some(baseline.quantile(quantile)?.max(scaled_bucket(baseline.quantile(0.5)?, factor)))
 }
 
-/// How many of a version's times are very slow by the old one's.
-pub(super) fn very_slow(new: &TimeHistogramByLoad, old: &TimeHistogramByLoad) -> u64 {
-    let [_, very] = SLOW;
-    let slow = |new: &TimeHistogram, old: &TimeHistogram| slow_above(old, very).map_or(0, |slow| new.count_above(slow));
-    slow(&new.light, &old.light) + slow(&new.heavy, &old.heavy)
+/// Number of times of a version that exceed the higher threshold.
+pub(super) fn very_slow(new: &TimeHistogramByLoad, baseline: &TimeHistogramByLoad) -> u64 {
+    let [_, very] = SLOW_THRESHOLDS;
+    let slow = |new: &TimeHistogram, baseline: &TimeHistogram| {
+        slow_bucket(baseline, very).map_or(0, |bucket| new.count_above(bucket))
+    };
+    slow(&new.light, &baseline.light) + slow(&new.heavy, &baseline.heavy)
 }
 
-/// What bets on answers that are slow in one way at one load have won.
-fn won_at(new: &TimeHistogram, old: &TimeHistogram, way: (f64, f64)) -> Bets {
-    let Some(slow) = slow_above(old, way) else { return Bets::default() };
-    let share = |times: &TimeHistogram| Share { bad: times.count_above(slow) as f64, of: times.total() as f64 };
-    won(share(new), usual(share(old)))
+/// Log likelihood ratios of slow times at one load, by one threshold.
+fn slow_ratios(new: &TimeHistogram, baseline: &TimeHistogram, threshold: (f64, f64)) -> IncreaseRatios {
+    let Some(bucket) = slow_bucket(baseline, threshold) else { return IncreaseRatios::default() };
+    let slow = |times: &TimeHistogram| BadCount { bad: times.count_above(bucket) as f64, total: times.total() as f64 };
+    log_ratios(slow(new), baseline_rate(slow(baseline)))
 }
 
-/// What bets on slow answers have won, each compared with those of equal load.
-fn won_by_times(new: &TimeHistogramByLoad, old: &TimeHistogramByLoad) -> [Bets; SLOW.len()] {
-    SLOW.map(|way| {
-        let mut won = won_at(&new.light, &old.light, way);
-        add(&mut won, &won_at(&new.heavy, &old.heavy, way));
-        won
+/// Log likelihood ratios of slow times, each compared with those at equal load.
+fn time_ratios(new: &TimeHistogramByLoad, baseline: &TimeHistogramByLoad) -> [IncreaseRatios; SLOW_THRESHOLDS.len()] {
+    SLOW_THRESHOLDS.map(|threshold| {
+        let mut ratios = slow_ratios(&new.light, &baseline.light, threshold);
+        add(&mut ratios, &slow_ratios(&new.heavy, &baseline.heavy, threshold));
+        ratios
     })
 }
 
-/// What bets have won by answers of one kind.
-fn won_by(new: &AttemptStats, old: &AttemptStats) -> Won {
-    let failed = Share { bad: new.failed as f64, of: new.ended as f64 };
-    won_on(failed, new, old)
+/// Log likelihood ratios of all criteria for one kind of request.
+fn criteria_ratios(new: &AttemptStats, baseline: &AttemptStats) -> CriteriaRatios {
+    let failed = BadCount { bad: new.failed as f64, total: new.ended as f64 };
+    criteria_ratios_with(failed, new, baseline)
 }
 
-/// The same where broken answers don't count: an endpoint that dies breaks all its answers at once, which would win bets that look
-/// for a turn in a few answers.
-fn won_by_errors(new: &AttemptStats, old: &AttemptStats) -> Won {
-    won_on(errors(new), new, old)
+/// Log likelihood ratios of all criteria, where broken answers don't count as failures: an endpoint that crashes breaks
+/// all its answers at once, which would look like a degradation to a test that needs only a few answers.
+fn criteria_ratios_by_errors(new: &AttemptStats, baseline: &AttemptStats) -> CriteriaRatios {
+    criteria_ratios_with(errors(new), new, baseline)
 }
 
-fn errors(new: &AttemptStats) -> Share {
-    Share { bad: new.errors as f64, of: new.begun() as f64 }
+fn errors(new: &AttemptStats) -> BadCount {
+    BadCount { bad: new.errors as f64, total: new.observed_starts() as f64 }
 }
 
-fn won_on(failed: Share, new: &AttemptStats, old: &AttemptStats) -> Won {
-    let failed = won(failed, usual(failures(old)));
-    let [first, very_late] = won_by_times(&new.first, &old.first);
-    let [pace, very_slow] = won_by_times(&new.pace, &old.pace);
-    [failed, first, very_late, pace, very_slow]
+fn criteria_ratios_with(failed: BadCount, new: &AttemptStats, baseline: &AttemptStats) -> CriteriaRatios {
+    let failed = log_ratios(failed, baseline_rate(baseline_failures(baseline)));
+    let [first, very_slow_first] = time_ratios(&new.first, &baseline.first);
+    let [per_event, very_slow_per_event] = time_ratios(&new.pace, &baseline.pace);
+    [failed, first, very_slow_first, per_event, very_slow_per_event]
 }
 
-/// Logarithm of the mean of what some bets have won.
-fn mean<'a>(won: impl IntoIterator<Item = &'a Bet>) -> Bet {
-    let won: Vec<f64> = won.into_iter().copied().flatten().collect();
-    let most = won.iter().copied().reduce(f64::max)?;
-    let sum: f64 = won.iter().map(|won| (won - most).exp()).sum();
-    Some(most + (sum / won.len() as f64).ln())
+/// Logarithm of the mean of some likelihood ratios.
+fn log_mean<'a>(ratios: impl IntoIterator<Item = &'a LogRatio>) -> LogRatio {
+    let ratios: Vec<f64> = ratios.into_iter().copied().flatten().collect();
+    let max = ratios.iter().copied().reduce(f64::max)?;
+    let sum: f64 = ratios.iter().map(|ratio| (ratio - max).exp()).sum();
+    Some(max + (sum / ratios.len() as f64).ln())
 }
 
-/// Logarithm of what bets on all routes together have won, or those on one of them; looking at the routes one by one as
-/// well is paid for by their number.
-fn best(all: Bet, routes: impl Iterator<Item = Bet>) -> f64 {
+/// The log likelihood ratio of all routes together, or of the single route with the highest one if that is higher. The
+/// ratio of a single route is divided by the number of routes, as correction for the multiple comparisons.
+fn best(all: LogRatio, routes: impl Iterator<Item = LogRatio>) -> f64 {
     let routes: Vec<f64> = routes.flatten().collect();
-    let most = routes.iter().copied().reduce(f64::max).map(|most| most - (routes.len() as f64).ln());
-    all.into_iter().chain(most).reduce(f64::max).unwrap_or_default()
+    let highest = routes.iter().copied().reduce(f64::max).map(|highest| highest - (routes.len() as f64).ln());
+    all.into_iter().chain(highest).reduce(f64::max).unwrap_or_default()
 }
 
-/// Logarithm of the odds that a version is worse than the old one, by all that was seen: for each kind the new version and
-/// the old one.
+/// Logarithm of the odds that a version is worse than the baseline, from the statistics of both for each kind of
+/// request.
 pub(super) fn log_odds<'a>(kinds: impl Iterator<Item = (&'a str, &'a AttemptStats, &'a AttemptStats)>) -> f64 {
-    let mut by_route: BTreeMap<&str, [Bet; WAYS]> = BTreeMap::new();
-    let mut all = [Bet::None; WAYS];
-    for (kind, new, old) in kinds {
-        let won = won_by(new, old).map(|rises| mean(&rises));
-        add(&mut all, &won);
-        add(by_route.entry(route_of(kind)).or_default(), &won);
+    let mut by_route: BTreeMap<&str, [LogRatio; CRITERIA]> = BTreeMap::new();
+    let mut all = [LogRatio::None; CRITERIA];
+    for (kind, new, baseline) in kinds {
+        let ratios = criteria_ratios(new, baseline).map(|increases| log_mean(&increases));
+        add(&mut all, &ratios);
+        add(by_route.entry(route_of(kind)).or_default(), &ratios);
     }
-    // A version may be bad in one way only, so that a part is bet on each.
-    best(mean(&all), by_route.values().map(mean))
+    // A version may be bad by a single criterion, so that the mean over the criteria is taken last.
+    best(log_mean(&all), by_route.values().map(log_mean))
 }
 
-fn add(sums: &mut [Bet], more: &[Bet]) {
+fn add(sums: &mut [LogRatio], more: &[LogRatio]) {
     for (sum, more) in sums.iter_mut().zip(more) {
         *sum = sum.zip(*more).map(|(sum, more)| sum + more).or(*sum).or(*more);
     }
 }
 
-/// What bets have won by answers of one kind on errors alone.
-fn won_by_errors_alone(new: &AttemptStats, old: &AttemptStats) -> Won {
-    let mut won = Won::default();
-    if let Some(way) = won.first_mut() {
-        *way = self::won(errors(new), usual(failures(old)));
+/// Log likelihood ratios of errors alone for one kind of request.
+fn error_ratios(new: &AttemptStats, baseline: &AttemptStats) -> CriteriaRatios {
+    let mut ratios = CriteriaRatios::default();
+    if let Some(first) = ratios.first_mut() {
+        *first = log_ratios(errors(new), baseline_rate(baseline_failures(baseline)));
     }
-    won
+    ratios
 }
 
-/// Bets on a version that was as good as the old one and has turned bad since: whatever they have lost is forgotten, so
-/// that good answers from before don't outweigh bad ones.
+/// A CUSUM test for a version that was as good as the baseline and has become worse since: log likelihood ratios don't
+/// fall below zero, so that good answers from before the change don't outweigh bad ones.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DegradationTest {
-    all: Won,
-    by_route: BTreeMap<RouteId, Won>,
+    all: CriteriaRatios,
+    by_route: BTreeMap<RouteId, CriteriaRatios>,
 }
 
 impl DegradationTest {
-    /// Bets on what was seen anew of some kinds, of the new version and in all of the old one.
-    pub(super) fn bet<'a>(&mut self, kinds: impl Iterator<Item = (&'a str, &'a AttemptStats, &'a AttemptStats)>) {
-        self.bet_by(kinds, won_by_errors);
+    /// Adds new statistics of the version, beside the baseline, for some kinds of request.
+    pub(super) fn add<'a>(&mut self, kinds: impl Iterator<Item = (&'a str, &'a AttemptStats, &'a AttemptStats)>) {
+        self.add_ratios(kinds, criteria_ratios_by_errors);
     }
 
-    /// The same on errors alone.
-    pub(super) fn bet_on_errors<'a>(
+    /// Adds the errors among new statistics, and no other criterion.
+    pub(super) fn add_errors<'a>(
         &mut self,
         kinds: impl Iterator<Item = (&'a str, &'a AttemptStats, &'a AttemptStats)>,
     ) {
-        self.bet_by(kinds, won_by_errors_alone);
+        self.add_ratios(kinds, error_ratios);
     }
 
-    fn bet_by<'a>(
+    fn add_ratios<'a>(
         &mut self,
         kinds: impl Iterator<Item = (&'a str, &'a AttemptStats, &'a AttemptStats)>,
-        won_by: impl Fn(&AttemptStats, &AttemptStats) -> Won,
+        ratios_of: impl Fn(&AttemptStats, &AttemptStats) -> CriteriaRatios,
     ) {
-        let mut by_route: BTreeMap<&str, Won> = BTreeMap::new();
-        for (kind, new, old) in kinds {
+        let mut by_route: BTreeMap<&str, CriteriaRatios> = BTreeMap::new();
+        for (kind, new, baseline) in kinds {
             let sums = by_route.entry(route_of(kind)).or_default();
-            add(sums.as_flattened_mut(), won_by(new, old).as_flattened());
+            add(sums.as_flattened_mut(), ratios_of(new, baseline).as_flattened());
         }
-        for (route, won) in by_route {
-            add(self.all.as_flattened_mut(), won.as_flattened());
-            let kept = self.by_route.entry(route.to_owned()).or_default();
-            add(kept.as_flattened_mut(), won.as_flattened());
-            forget_losses(kept);
+        for (route, ratios) in by_route {
+            add(self.all.as_flattened_mut(), ratios.as_flattened());
+            let route_sums = self.by_route.entry(route.to_owned()).or_default();
+            add(route_sums.as_flattened_mut(), ratios.as_flattened());
+            clamp_to_zero(route_sums);
         }
-        forget_losses(&mut self.all);
+        clamp_to_zero(&mut self.all);
     }
 
-    /// Logarithm of what is won, in whatever way.
-    pub(super) fn odds(&self) -> f64 {
-        best(mean(self.all.as_flattened()), self.by_route.values().map(|won| mean(won.as_flattened())))
+    /// Logarithm of the odds that the version has become worse, by any criterion.
+    pub(super) fn log_odds(&self) -> f64 {
+        best(log_mean(self.all.as_flattened()), self.by_route.values().map(|ratios| log_mean(ratios.as_flattened())))
     }
 }
 
-fn forget_losses(won: &mut Won) {
-    for won in won.as_flattened_mut().iter_mut().flatten() {
-        *won = won.max(0.0);
+fn clamp_to_zero(ratios: &mut CriteriaRatios) {
+    for ratio in ratios.as_flattened_mut().iter_mut().flatten() {
+        *ratio = ratio.max(0.0);
     }
 }
--- a/havengrade_core/src/published/rollout.rs
+++ b/havengrade_core/src/published/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs of a service's software: which requests go to the new version, and when it is judged.
+//! Roll-outs of services' software: which versions may answer a request, and which statuses to write.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -19,42 +19,44 @@
     published::{
         directory::SoftwareVersion,
         evidence_summary::EvidenceSummary,
-        service_rollout::{Phase, ServiceRollout, place},
+        service_rollout::{Phase, ServiceRollout, slot_of},
         session_affinity::AffinityTable,
     },
 };
 
-/// Time that a message between VMs may be under way.
-const MESSAGE_TIME: Duration = Duration::from_millis(500);
-/// Counters that a VM's news name, each of a version on a route with a model; the others come with the next news.
+/// Upper bound on the one-way delay of a message between VMs.
+const MAX_MESSAGE_DELAY: Duration = Duration::from_millis(500);
+/// Highest number of counters in a report, each of a version and a kind of request. The others follow in the next
+/// report.
 const MAX_EVIDENCE: usize = 16;
-/// Sessions that news name.
+/// Highest number of sessions in a report.
 const MAX_SESSIONS: usize = 48;
-/// States of roll-outs that news name.
+/// Highest number of written statuses in a report.
 const MAX_STATES: usize = 4;
 
-/// The roll-outs of all services and the sessions that keep to a version.
+/// The roll-outs of all services, and the affinity of sessions to versions.
 #[derive(Clone, Debug, Default)]
 pub struct Rollouts {
     by_service: HashMap<ServiceId, ServiceRollout>,
     statuses: HashMap<ServiceId, RolloutStatus>,
-    /// VersionComparison that were rolled back and not ordered again since; a later order does not make them good.
-    barred: HashMap<ServiceId, HashSet<SoftwareVersion>>,
-    /// What another VM told of the versions before orders that this VM has not learned of yet.
-    handed: HashMap<(ServiceId, SoftwareVersion), Vec<RouteEvidence>>,
-    pins: AffinityTable,
-    has_old_orders: bool,
+    /// Versions that were rolled back and not ordered again since. They stay excluded during later orders of other
+    /// versions.
+    rolled_back: HashMap<ServiceId, HashSet<SoftwareVersion>>,
+    /// Baselines that other VMs transferred for orders that this VM has not learned of yet.
+    transferred_baselines: HashMap<(ServiceId, SoftwareVersion), Vec<RouteEvidence>>,
+    affinities: AffinityTable,
+    has_earlier_orders: bool,
     are_statuses_read: bool,
 }
 
 /// Which versions of a service may answer a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AllowedVersions {
-    /// All.
+    /// All versions.
     Any,
-    /// Only this one.
+    /// Only this version.
     Only(SoftwareVersion),
-    /// All but this one.
+    /// All versions but this one.
     Not(SoftwareVersion),
 }
 
@@ -70,100 +72,101 @@
 }
 
 impl Rollouts {
-    /// Takes an operator's order that was learned of at `now`; tells whether it is a new one.
+    /// Adds an operator's order that this VM learned of at `now`. Returns whether the order is new.
     pub fn add_order(&mut self, order: RolloutOrder, now: SystemTime) -> bool {
-        if self.by_service.get(&order.service).is_some_and(|running| running.order == order) {
+        if self.by_service.get(&order.service).is_some_and(|rollout| rollout.order == order) {
             return false;
         }
         let written = self.statuses.get(&order.service).filter(|status| status.version == order.version);
         let outcome = written.map_or(RolloutOutcome::Running, |status| status.outcome);
         if outcome != RolloutOutcome::RolledBack
-            && let Some(barred) = self.barred.get_mut(&order.service)
+            && let Some(versions) = self.rolled_back.get_mut(&order.service)
         {
-            barred.remove(&order.version);
+            versions.remove(&order.version);
         }
-        let handed = self.handed.remove(&(order.service.clone(), order.version.clone()));
-        let before = self.by_service.get(&order.service);
-        let replaced = before.filter(|before| before.outcome == RolloutOutcome::Succeeded);
-        let mut running = ServiceRollout::new(order, outcome, now);
-        running.replaces = replaced.map(|before| before.order.version.clone());
-        running.versions.merge_baseline(handed.unwrap_or_default());
-        self.by_service.insert(running.order.service.clone(), running);
+        let baseline = self.transferred_baselines.remove(&(order.service.clone(), order.version.clone()));
+        let previous = self.by_service.get(&order.service);
+        let replaced = previous.filter(|previous| previous.outcome == RolloutOutcome::Succeeded);
+        let mut rollout = ServiceRollout::new(order, outcome, now);
+        rollout.replaced_version = replaced.map(|previous| previous.order.version.clone());
+        rollout.versions.merge_baseline(baseline.unwrap_or_default());
+        self.by_service.insert(rollout.order.service.clone(), rollout);
         true
     }
 
-    /// Notes that some orders stood there before this VM started, so that they may have ended since.
+    /// Records that there were orders before this VM started, which may have ended since.
     pub fn set_has_earlier_orders(&mut self) {
-        self.has_old_orders = true;
+        self.has_earlier_orders = true;
     }
 
-    /// Notes that all written statuses were read.
+    /// Records that all written statuses were read.
     pub fn set_statuses_read(&mut self) {
         self.are_statuses_read = true;
     }
 
-    /// Whether orders stood there before this VM started of which it does not know yet how they ended.
+    /// Whether the written statuses must be read, since there were orders before this VM started.
     ///
-    /// Of later orders, other VMs tell how they stand.
+    /// The statuses of later orders arrive in reports of other VMs.
     pub fn needs_statuses(&self) -> bool {
-        self.has_old_orders && !self.are_statuses_read
+        self.has_earlier_orders && !self.are_statuses_read
     }
 
     /// The newest order of each service.
     pub fn orders(&self) -> impl Iterator<Item = &RolloutOrder> {
-        self.by_service.values().map(|running| &running.order)
+        self.by_service.values().map(|rollout| &rollout.order)
     }
 
-    /// Takes a written status; tells whether it changes what is known. An end stands.
+    /// Records a written status. Returns whether it changes the known one, which it can't do after a terminal status.
     pub fn record_status(&mut self, status: RolloutStatus) -> bool {
         let known = self.statuses.get(&status.service).filter(|known| known.version == status.version);
-        if known.is_some_and(|known| !follows(known.outcome, status.outcome)) {
+        if known.is_some_and(|known| !may_replace(known.outcome, status.outcome)) {
             return false;
         }
-        if let Some(running) = self.by_service.get_mut(&status.service)
-            && running.order.version == status.version
-            && follows(running.outcome, status.outcome)
+        if let Some(rollout) = self.by_service.get_mut(&status.service)
+            && rollout.order.version == status.version
+            && may_replace(rollout.outcome, status.outcome)
         {
-            running.outcome = status.outcome;
+            rollout.outcome = status.outcome;
         }
         if status.outcome == RolloutOutcome::RolledBack {
-            self.barred.entry(status.service.clone()).or_default().insert(status.version.clone());
+            self.rolled_back.entry(status.service.clone()).or_default().insert(status.version.clone());
         }
         self.statuses.insert(status.service.clone(), status);
         true
     }
 
-    /// Takes a status that another VM says is written; tells whether it changes what is known.
+    /// Merges a status that another VM reports as written. Returns whether it changes the known one.
     ///
-    /// VMs learn at different times, so one that says "under way" does not undo an end that is known, and one
-    /// of another order says nothing.
+    /// VMs learn of statuses at different times, so that a report of a rollout roll-out does not replace a known
+    /// terminal status, and statuses of other orders are ignored.
     pub fn merge_status(&mut self, status: RolloutStatus) -> bool {
-        let ordered = self.by_service.get(&status.service).map(|running| &running.order.version);
+        let ordered = self.by_service.get(&status.service).map(|rollout| &rollout.order.version);
         let is_settled = self.is_settled(&status);
         ordered == Some(&status.version) && !is_settled && self.record_status(status)
     }
 
-    /// Takes from another VM when the first one learned of an order; a VM that started since learned of it later.
+    /// Merges the time at which the first VM learned of an order, which is earlier than that of a VM that has started
+    /// since.
     ///
-    /// A VM to which the order has ended may not have heard yet that the version was ordered again, and is not
-    /// believed. Tells whether the time differs from what was known by more than a message may be under way.
-    pub fn merge_start_time(&mut self, told: &RolloutStatus, began: SystemTime) -> bool {
-        let running = self.by_service.get_mut(&told.service);
-        let running = running.filter(|running| running.order.version == told.version);
-        let Some(running) = running.filter(|_| told.outcome == RolloutOutcome::Running) else { return false };
-        let known = running.began;
-        running.began = known.min(began);
-        began + MESSAGE_TIME < known
-    }
-
-    /// Time since the first VM learned of a service's newest order, where it is for this version.
+    /// A report of an ended order is ignored, since its sender may not have learned yet that the version was ordered
+    /// again. Returns whether the time is earlier than the known one by more than the delay of a message.
+    pub fn merge_start_time(&mut self, status: &RolloutStatus, started_at: SystemTime) -> bool {
+        let rollout = self.by_service.get_mut(&status.service);
+        let rollout = rollout.filter(|rollout| rollout.order.version == status.version);
+        let Some(rollout) = rollout.filter(|_| status.outcome == RolloutOutcome::Running) else { return false };
+        let known = rollout.started_at;
+        rollout.started_at = known.min(started_at);
+        started_at + MAX_MESSAGE_DELAY < known
+    }
+
+    /// Time since the first VM learned of a service's newest order, if that is for this version.
     pub fn order_age(&self, service: &str, version: &str, now: SystemTime) -> Option<Duration> {
-        let running = self.by_service.get(service).filter(|running| running.order.version == version)?;
-        Some(now.duration_since(running.began).unwrap_or_default())
+        let rollout = self.by_service.get(service).filter(|rollout| rollout.order.version == version)?;
+        Some(now.duration_since(rollout.started_at).unwrap_or_default())
     }
 
     /// The status that is known to be written for a service.
-    pub fn written(&self, service: &str) -> Option<&RolloutStatus> {
+    pub fn written_status(&self, service: &str) -> Option<&RolloutStatus> {
         self.statuses.get(service)
     }
 
@@ -172,39 +175,40 @@
         self.statuses.values()
     }
 
-    /// Whether a status needs no more writing: it stands there, or the order has ended another way.
+    /// Whether a status need not be written any more: it is written already, or the order has ended otherwise.
     pub fn is_settled(&self, status: &RolloutStatus) -> bool {
         let written = self.statuses.get(&status.service).filter(|known| known.version == status.version);
-        written.is_some_and(|known| !follows(known.outcome, status.outcome))
+        written.is_some_and(|known| !may_replace(known.outcome, status.outcome))
     }
 
-    /// Statuses that are known to be written, and that a store which has lost some does not hold any more.
-    pub fn statuses_missing_from(&self, there: &[RolloutStatus]) -> Vec<RolloutStatus> {
-        let stands = |known: &RolloutStatus| {
-            there.iter().filter(|status| status.service == known.service).any(|status| {
+    /// Statuses that are known to be written, but are not among those that the store holds, since it has lost some.
+    pub fn statuses_missing_from(&self, stored: &[RolloutStatus]) -> Vec<RolloutStatus> {
+        let is_stored = |known: &RolloutStatus| {
+            stored.iter().filter(|status| status.service == known.service).any(|status| {
                 let is_same_order = status.version == known.version;
-                status == known || (is_same_order && follows(known.outcome, status.outcome))
+                status == known || (is_same_order && may_replace(known.outcome, status.outcome))
             })
         };
-        let mut missing: Vec<RolloutStatus> = self.statuses.values().filter(|known| !stands(known)).cloned().collect();
+        let mut missing: Vec<RolloutStatus> =
+            self.statuses.values().filter(|known| !is_stored(known)).cloned().collect();
         missing.sort_by(|a, b| a.service.cmp(&b.service));
         missing
     }
 
-    /// Whether any order is still under way.
+    /// Whether any roll-out is in progress.
     pub fn is_any_running(&self) -> bool {
-        self.by_service.values().any(|running| running.outcome == RolloutOutcome::Running)
+        self.by_service.values().any(|rollout| rollout.outcome == RolloutOutcome::Running)
     }
 
-    /// Whether any version is judged: its order is under way, or it has succeeded not long ago.
+    /// Whether any version is monitored: its roll-out is in progress, or has succeeded not long ago.
     pub fn is_any_monitored(&self, now: SystemTime) -> bool {
-        self.by_service.values().any(|running| running.is_watched(now))
+        self.by_service.values().any(|rollout| rollout.is_monitored(now))
     }
 
-    /// Which versions may answer a request, for a bound on the share of a bad version.
+    /// Which versions may answer a request, within the bound on the share of a bad version.
     ///
-    /// `subject` is the request's id, or that of its session, which keeps to the version of its last
-    /// request for `session_idle_timeout`.
+    /// A session keeps to the version of its last request for `session_idle_timeout`. Other requests are assigned by
+    /// `subject`, the request's id.
     pub fn allowed_versions(
         &self,
         service: &str,
@@ -213,24 +217,26 @@
         bounds: RolloutBounds,
         now: SystemTime,
     ) -> AllowedVersions {
-        let Some(running) = self.by_service.get(service) else { return AllowedVersions::Any };
-        let new = &running.order.version;
-        let pinned = session.and_then(|id| self.pins.version(id, bounds.session_idle_timeout, now));
-        // A session leaves a version that was rolled back.
-        let pinned = pinned.filter(|version| !self.is_rolled_back(service, version));
-        let takes_new = match (running.phase(bounds, session.is_some(), now), pinned) {
+        let Some(rollout) = self.by_service.get(service) else { return AllowedVersions::Any };
+        let new = &rollout.order.version;
+        let affinity = session.and_then(|id| self.affinities.version(id, bounds.session_idle_timeout, now));
+        // A session does not keep to a version that was rolled back.
+        let affinity = affinity.filter(|version| !self.is_rolled_back(service, version));
+        let gets_new = match (rollout.phase(bounds, session.is_some(), now), affinity) {
             (Phase::Halted, _) => false,
-            (Phase::TakeOver | Phase::Succeeded, _) => true,
-            // Not just any version but the new one: an order may have replaced this one since, and another begun.
+            (Phase::FullTraffic | Phase::Succeeded, _) => true,
+            // Exactly this version, rather than any but the new one: the session may be two orders old.
             (Phase::Waiting | Phase::Trial, Some(version)) => return AllowedVersions::Only(version.clone()),
             (Phase::Waiting, None) => false,
-            (Phase::Trial, None) => place(session.unwrap_or(subject)) < running.slots(bounds, session.is_some()),
+            (Phase::Trial, None) => {
+                slot_of(session.unwrap_or(subject)) < rollout.trial_slots(bounds, session.is_some())
+            },
         };
-        if takes_new { AllowedVersions::Only(new.clone()) } else { AllowedVersions::Not(new.clone()) }
+        if gets_new { AllowedVersions::Only(new.clone()) } else { AllowedVersions::Not(new.clone()) }
     }
 
-    /// Whether a request may go to the old versions as well as to the one that is tried: its order is under way, and no session of its
-    /// own keeps the request to a version.
+    /// Whether a request that was assigned to the new version may go to the old ones as well: the version is on trial,
+    /// and the request belongs to no session that keeps to a version.
     pub fn may_use_old_versions(
         &self,
         service: &str,
@@ -238,218 +244,221 @@
         bounds: RolloutBounds,
         now: SystemTime,
     ) -> bool {
-        let Some(running) = self.by_service.get(service) else { return false };
-        let is_trial = running.phase(bounds, session.is_some(), now) == Phase::Trial;
-        let pinned = session.and_then(|id| self.pins.version(id, bounds.session_idle_timeout, now));
-        is_trial && pinned.is_none()
+        let Some(rollout) = self.by_service.get(service) else { return false };
+        let is_trial = rollout.phase(bounds, session.is_some(), now) == Phase::Trial;
+        let affinity = session.and_then(|id| self.affinities.version(id, bounds.session_idle_timeout, now));
+        is_trial && affinity.is_none()
     }
 
-    /// Whether a version is the one of a service's newest order.
+    /// Whether a version is the new version of a service's newest order.
     pub fn is_target_version(&self, service: &str, version: &str) -> bool {
-        self.by_service.get(service).is_some_and(|running| running.order.version == version)
+        self.by_service.get(service).is_some_and(|rollout| rollout.order.version == version)
     }
 
     /// The version that a live session keeps to, as far as this VM knows.
     pub fn session_version(&self, session: &str, bounds: RolloutBounds, now: SystemTime) -> Option<&SoftwareVersion> {
-        self.pins.version(session, bounds.session_idle_timeout, now)
+        self.affinities.version(session, bounds.session_idle_timeout, now)
     }
 
-    /// Whether live sessions of a service may keep to another version than new ones are given.
+    /// Whether live sessions of a service may keep to another version than new sessions are given.
     pub fn may_have_mixed_sessions(&self, service: &str, bounds: RolloutBounds, now: SystemTime) -> bool {
-        self.by_service.get(service).is_some_and(|running| running.moves_sessions(bounds, now))
+        self.by_service.get(service).is_some_and(|rollout| rollout.may_have_mixed_sessions(bounds, now))
     }
 
-    /// Time until a session ends, if it is live.
+    /// Time until a session ends, if the session is live.
     pub fn session_time_left(&self, session: &str, bounds: RolloutBounds, now: SystemTime) -> Option<Duration> {
-        self.pins.left(session, bounds.session_idle_timeout, now)
+        self.affinities.time_left(session, bounds.session_idle_timeout, now)
     }
 
-    /// Whether any version may answer where none of the allowed ones is left; one that was found bad never may.
+    /// Whether any version may answer if no endpoint of an allowed version is left; false after a halt.
     pub fn may_use_any_version(&self, service: &str) -> bool {
-        self.by_service.get(service).is_none_or(|running| !running.is_halted())
+        self.by_service.get(service).is_none_or(|rollout| !rollout.is_halted())
     }
 
-    /// Whether a version gets nothing: it was found to be bad, now or in an earlier order.
+    /// Whether a version gets no requests: it was halted in the newest order, or rolled back in an earlier one.
     pub fn is_halted(&self, service: &str, version: &str) -> bool {
-        let is_halted = |running: &ServiceRollout| running.order.version == version && running.is_halted();
+        let is_halted = |rollout: &ServiceRollout| rollout.order.version == version && rollout.is_halted();
         self.is_rolled_back(service, version) || self.by_service.get(service).is_some_and(is_halted)
     }
 
     /// Whether a version was rolled back and has not been ordered again.
     pub fn is_rolled_back(&self, service: &str, version: &str) -> bool {
-        self.barred.get(service).is_some_and(|barred| barred.contains(version))
+        self.rolled_back.get(service).is_some_and(|versions| versions.contains(version))
     }
 
-    /// Notes which version answers a session, with a request that may be in progress until `busy_until`; the session's pause begins only
-    /// after it.
+    /// Records which version answers a session, with a request that may be in flight until `busy_until`. The session's
+    /// idle time begins after it.
     pub fn begin_session_request(&mut self, session: &str, version: &str, busy_until: SystemTime, now: SystemTime) {
-        self.pins.pin(session, version, busy_until, now);
+        self.affinities.set(session, version, busy_until, now);
     }
 
-    /// Notes that no request of a session is in progress any longer.
+    /// Records that no request of a session is in flight any longer.
     pub fn mark_session_idle(&mut self, session: &str, now: SystemTime) {
-        self.pins.end(session, now);
+        self.affinities.mark_idle(session, now);
     }
 
-    /// Notes that a request of a session has ended, from when its pause counts.
+    /// Records that a request of a session has ended, which restarts the session's idle timeout.
     pub fn extend_session(&mut self, session: &str, version: &str, now: SystemTime) {
-        self.pins.touch(session, version, now);
+        self.affinities.extend(session, version, now);
     }
 
-    /// Forgets sessions that rested for longer than `session_idle_timeout`.
+    /// Removes sessions that have been idle for longer than `session_idle_timeout`.
     pub fn prune_sessions(&mut self, session_idle_timeout: Duration, now: SystemTime) {
-        self.pins.prune(session_idle_timeout, now);
+        self.affinities.prune(session_idle_timeout, now);
     }
 
-    /// Sessions of which other VMs are to know, for the case that their next requests go there: those whose version is another one than they
-    /// would be given as new ones.
+    /// Sessions for the next report, in case their next requests go to other VMs: those that keep to another version
+    /// than a new session would be given.
     pub fn next_session_report(&mut self, bounds: RolloutBounds, now: SystemTime) -> Vec<SessionAffinity> {
-        let unsettled: Vec<&ServiceRollout> =
-            self.by_service.values().filter(|running| running.moves_sessions(bounds, now)).collect();
-        if unsettled.is_empty() {
+        let mixed: Vec<&ServiceRollout> =
+            self.by_service.values().filter(|rollout| rollout.may_have_mixed_sessions(bounds, now)).collect();
+        if mixed.is_empty() {
             return Vec::new();
         }
-        let is_wanted = |session: &SessionId, version: &SoftwareVersion| {
-            unsettled.iter().any(|running| running.surprises(session, version, bounds, now))
+        let is_relevant = |session: &SessionId, version: &SoftwareVersion| {
+            mixed.iter().any(|rollout| rollout.would_move_session(session, version, bounds, now))
         };
-        self.pins.tell(is_wanted, MAX_SESSIONS, bounds.session_idle_timeout, now)
+        self.affinities.next_report(is_relevant, MAX_SESSIONS, bounds.session_idle_timeout, now)
     }
 
-    /// Takes what another VM tells of a session.
-    pub fn merge_session(&mut self, kept: SessionAffinity, now: SystemTime) {
-        self.pins.hear(kept, now);
+    /// Merges the affinity of a session that another VM reported.
+    pub fn merge_session(&mut self, affinity: SessionAffinity, now: SystemTime) {
+        self.affinities.merge(affinity, now);
     }
 
-    /// Counts the end of a try at a service that this VM, of run `own`, made.
-    pub fn record_outcome(&mut self, service: &str, sample: AttemptOutcome<'_>, own: Incarnation, now: SystemTime) {
-        if let Some(running) = self.watched(service, now) {
-            running.note(&sample, own, now);
+    /// Counts the outcome of an attempt at a service that this VM, of incarnation `own`, made.
+    pub fn record_outcome(&mut self, service: &str, outcome: AttemptOutcome<'_>, own: Incarnation, now: SystemTime) {
+        if let Some(rollout) = self.monitored(service, now) {
+            rollout.record_outcome(&outcome, own, now);
         }
     }
 
-    /// Counts a time of a try that is under way, or was given up.
-    pub fn record_time(&mut self, service: &str, note: AttemptTime<'_>, own: Incarnation, now: SystemTime) {
-        if let Some(running) = self.watched(service, now) {
-            running.note_time(&note, own, now);
+    /// Counts a time of an attempt that is in progress, or was given up.
+    pub fn record_time(&mut self, service: &str, time: AttemptTime<'_>, own: Incarnation, now: SystemTime) {
+        if let Some(rollout) = self.monitored(service, now) {
+            rollout.record_time(&time, own, now);
         }
     }
 
-    fn watched(&mut self, service: &str, now: SystemTime) -> Option<&mut ServiceRollout> {
-        self.by_service.get_mut(service).filter(|running| running.is_watched(now))
+    fn monitored(&mut self, service: &str, now: SystemTime) -> Option<&mut ServiceRollout> {
+        self.by_service.get_mut(service).filter(|rollout| rollout.is_monitored(now))
     }
 
-    /// Takes another VM's counters; they only grow, so older ones have no effect.
+    /// Merges another VM's counters; they only grow, so that older ones have no effect.
     pub fn merge_evidence(&mut self, writer: Incarnation, evidence: &RouteEvidence) {
-        if let Some(running) = self.by_service.get_mut(&evidence.service) {
-            running.versions.merge(writer, evidence);
+        if let Some(rollout) = self.by_service.get_mut(&evidence.service) {
+            rollout.versions.merge(writer, evidence);
         }
     }
 
-    /// What is known of the version that a service had before the order of another one, for a VM that starts.
+    /// The baseline of a service's version `ordered`, for a VM that starts.
     pub fn baseline(&self, service: &str, ordered: &str) -> Vec<RouteEvidence> {
-        let running = self.by_service.get(service).filter(|running| running.order.version == ordered);
-        running.map(|running| running.versions.usual()).unwrap_or_default()
+        let rollout = self.by_service.get(service).filter(|rollout| rollout.order.version == ordered);
+        rollout.map(|rollout| rollout.versions.baseline()).unwrap_or_default()
     }
 
-    /// Whether a version has succeeded of whose predecessor this VM knows nothing, so that it can't be judged well.
+    /// Whether this VM has no baseline for a version that has succeeded, so that it can't evaluate the version.
     pub fn lacks_baseline(&self, now: SystemTime) -> bool {
-        let mut watched = self.by_service.values().filter(|running| running.is_watched(now));
-        watched.any(|running| running.outcome == RolloutOutcome::Succeeded && running.versions.usual().is_empty())
+        let mut monitored = self.by_service.values().filter(|rollout| rollout.is_monitored(now));
+        monitored.any(|rollout| rollout.outcome == RolloutOutcome::Succeeded && rollout.versions.baseline().is_empty())
     }
 
-    /// Takes what another VM knows of the version that a service had before the order of another one; the order itself may
-    /// come later.
-    pub fn merge_baseline(&mut self, service: &str, ordered: &str, usual: Vec<RouteEvidence>) {
+    /// Merges the baseline of a service's version `ordered` from another VM or the store; the order itself may arrive
+    /// later.
+    pub fn merge_baseline(&mut self, service: &str, ordered: &str, baseline: Vec<RouteEvidence>) {
         match self.by_service.get_mut(service) {
-            Some(running) if running.order.version == ordered => running.versions.merge_baseline(usual),
-            _ => drop(self.handed.insert((service.to_owned(), ordered.to_owned()), usual)),
+            Some(rollout) if rollout.order.version == ordered => rollout.versions.merge_baseline(baseline),
+            _ => drop(self.transferred_baselines.insert((service.to_owned(), ordered.to_owned()), baseline)),
         }
     }
 
-    /// What this VM's judgement of each order rests on.
+    /// Summaries of the evidence on each order.
     pub fn evidence_summaries(&self, bounds: RolloutBounds, now: SystemTime) -> Vec<EvidenceSummary> {
-        self.by_service.values().map(|running| running.evidence_summary(bounds, now)).collect()
+        self.by_service.values().map(|rollout| rollout.evidence_summary(bounds, now)).collect()
     }
 
-    /// Whether a VM of run `own` saw something of a new version that the others were not told yet.
+    /// Whether this VM, of incarnation `own`, has evidence on a new version that it has not reported yet.
     pub fn has_unreported_evidence(&self, own: Incarnation, now: SystemTime) -> bool {
-        let mut watched = self.by_service.values().filter(|running| running.is_watched(now));
-        watched.any(|running| running.versions.has_news(own))
+        let mut monitored = self.by_service.values().filter(|rollout| rollout.is_monitored(now));
+        monitored.any(|rollout| rollout.versions.has_unreported(own))
     }
 
-    /// What a VM of run `own` tells the others, in a datagram's limits.
+    /// The next report of this VM, of incarnation `own`, within the limits of a datagram.
     pub fn next_report(&mut self, bounds: RolloutBounds, own: Incarnation, now: SystemTime) -> RolloutReport {
         let mut evidence = Vec::new();
-        for running in self.by_service.values_mut().filter(|running| running.is_watched(now)) {
-            evidence.extend(running.versions.tell(own, MAX_EVIDENCE - evidence.len(), now));
+        for rollout in self.by_service.values_mut().filter(|rollout| rollout.is_monitored(now)) {
+            evidence.extend(rollout.versions.next_report(own, MAX_EVIDENCE - evidence.len(), now));
         }
         let sessions = self.next_session_report(bounds, now);
         let states = self.statuses().take(MAX_STATES).map(|status| self.reported_rollout(status, now)).collect();
-        let halts = self.by_service.values().filter_map(ServiceRollout::told_halt).collect();
-        let recent = self.by_service.values().filter_map(|running| running.tell_recent(now)).collect();
+        let halts = self.by_service.values().filter_map(ServiceRollout::reported_halt).collect();
+        let recent = self.by_service.values().filter_map(|rollout| rollout.reported_counts(now)).collect();
         RolloutReport { evidence, states, halts, recent, sessions }
     }
 
-    /// How a roll-out stands, as other VMs are told.
+    /// A roll-out as an entry of a report.
     pub fn reported_rollout(&self, status: &RolloutStatus, now: SystemTime) -> ReportedRollout {
         ReportedRollout { status: status.clone(), age: self.order_age(&status.service, &status.version, now) }
     }
 
-    /// Takes what a VM's run `from` tells; gives what was not known before.
-    pub fn merge_report(&mut self, from: Incarnation, news: RolloutReport, now: SystemTime) -> Vec<RolloutUpdate> {
-        for seen in &news.evidence {
-            self.merge_evidence(from, seen);
+    /// Merges a report of the VM incarnation `from`. Returns the changes to the known roll-outs.
+    pub fn merge_report(&mut self, from: Incarnation, report: RolloutReport, now: SystemTime) -> Vec<RolloutUpdate> {
+        for evidence in &report.evidence {
+            self.merge_evidence(from, evidence);
         }
-        for kept in news.sessions {
-            self.merge_session(kept, now);
+        for affinity in report.sessions {
+            self.merge_session(affinity, now);
         }
-        for told in news.recent {
-            if let Some(running) = self.by_service.get_mut(&told.service) {
-                running.hear_recent(from, told.counts, now);
+        for reported in report.recent {
+            if let Some(rollout) = self.by_service.get_mut(&reported.service) {
+                rollout.merge_counts(from, reported.counts, now);
             }
         }
-        let mut learned: Vec<RolloutUpdate> =
-            news.states.into_iter().flat_map(|told| self.hear_state(told, now)).collect();
-        learned.extend(news.halts.into_iter().filter_map(|told| self.hear_halt(told)));
-        learned
+        let mut updates: Vec<RolloutUpdate> =
+            report.states.into_iter().flat_map(|reported| self.merge_rollout(reported, now)).collect();
+        updates.extend(report.halts.into_iter().filter_map(|reported| self.merge_halt(reported)));
+        updates
     }
 
-    fn hear_halt(&mut self, told: ReportedHalt) -> Option<RolloutUpdate> {
-        let running = self.by_service.get_mut(&told.service)?;
-        let is_news = running.order.version == told.version && running.learn_halt(told.reason);
-        is_news.then_some(RolloutUpdate::Halt(told))
+    fn merge_halt(&mut self, reported: ReportedHalt) -> Option<RolloutUpdate> {
+        let rollout = self.by_service.get_mut(&reported.service)?;
+        let is_new = rollout.order.version == reported.version && rollout.merge_halt(reported.reason);
+        is_new.then_some(RolloutUpdate::Halt(reported))
     }
 
-    fn hear_state(&mut self, told: ReportedRollout, now: SystemTime) -> Vec<RolloutUpdate> {
-        let ReportedRollout { status, age } = told;
-        let mut learned = Vec::new();
-        let began = age.and_then(|age| Some((age, now.checked_sub(age)?)));
-        if let Some((age, began)) = began
-            && self.merge_start_time(&status, began)
+    fn merge_rollout(&mut self, reported: ReportedRollout, now: SystemTime) -> Vec<RolloutUpdate> {
+        let ReportedRollout { status, age } = reported;
+        let mut updates = Vec::new();
+        let started_at = age.and_then(|age| Some((age, now.checked_sub(age)?)));
+        if let Some((age, started_at)) = started_at
+            && self.merge_start_time(&status, started_at)
         {
-            learned.push(RolloutUpdate::EarlierStart { status: status.clone(), age });
+            updates.push(RolloutUpdate::EarlierStart { status: status.clone(), age });
         }
         if self.merge_status(status.clone()) {
-            learned.push(RolloutUpdate::State(status));
+            updates.push(RolloutUpdate::State(status));
         }
-        learned
+        updates
     }
 
-    /// Judges all versions by what is known now; tells which ones are to get nothing more from now on.
+    /// Evaluates the evidence on all versions. Returns the versions that were halted by it.
     pub fn evaluate(&mut self, bounds: RolloutBounds, now: SystemTime) -> Vec<ReportedHalt> {
-        self.by_service.values_mut().filter_map(|running| running.judge(bounds, now)).collect()
+        self.by_service.values_mut().filter_map(|rollout| rollout.evaluate(bounds, now)).collect()
     }
 
-    /// Judges all versions, and tells what should be written now.
+    /// Evaluates the evidence on all versions, and returns the statuses that should be written now.
     pub fn status_updates(&mut self, bounds: RolloutBounds, now: SystemTime) -> Vec<StatusUpdate> {
         self.evaluate(bounds, now);
-        let watched = self.by_service.values().filter(|running| running.is_watched(now));
-        watched.filter_map(|running| running.status_update(self.written(&running.order.service), now)).collect()
+        let monitored = self.by_service.values().filter(|rollout| rollout.is_monitored(now));
+        monitored
+            .filter_map(|rollout| rollout.status_update(self.written_status(&rollout.order.service), now))
+            .collect()
     }
 }
 
-/// Whether an outcome may come after another one: an end stands, but a version that has succeeded may still turn bad.
-fn follows(before: RolloutOutcome, after: RolloutOutcome) -> bool {
+/// Whether an outcome may replace another one: terminal outcomes are final, except that a version which has succeeded
+/// may still be rolled back.
+fn may_replace(before: RolloutOutcome, after: RolloutOutcome) -> bool {
     matches!(
         (before, after),
         (RolloutOutcome::Running, RolloutOutcome::Succeeded | RolloutOutcome::RolledBack)
--- a/havengrade_core/src/published/rollout_order.rs
+++ b/havengrade_core/src/published/rollout_order.rs
@@ -1,4 +1,4 @@
-//! Orders to roll a version out, and how they stand.
+//! Orders to roll out a version, and their written statuses.
 
 use std::time::Duration;
 
@@ -6,30 +6,30 @@
 
 use crate::{ids::ServiceId, published::directory::SoftwareVersion};
 
-/// An operator's order to shift a service to a new version.
+/// An operator's order to move a service to a new version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
     /// The service.
     pub service: ServiceId,
     /// The new version.
     pub version: SoftwareVersion,
-    /// Time from the order until it should be done.
+    /// Time from the order to its deadline.
     pub duration: Duration,
 }
 
-/// How an order stands, as it is written for the operator.
+/// The outcome of an order, as it is written for the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutOutcome {
-    /// It is under way.
+    /// The roll-out is in progress.
     Running,
-    /// The new version has taken over.
+    /// The new version has replaced the old one.
     Succeeded,
     /// The new version was worse and gets no more requests.
     RolledBack,
 }
 
 impl RolloutOutcome {
-    /// A name for logs.
+    /// The name for logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Running => "running",
@@ -39,13 +39,13 @@
     }
 }
 
-/// A written state of an order.
+/// The written status of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutStatus {
     /// The service.
     pub service: ServiceId,
     /// The new version.
     pub version: SoftwareVersion,
-    /// How it stands.
+    /// The outcome.
     pub outcome: RolloutOutcome,
 }
--- a/havengrade_core/src/published/service_rollout.rs
+++ b/havengrade_core/src/published/service_rollout.rs
@@ -1,4 +1,4 @@
-//! One roll-out as a VM sees it: how far the new version is trusted, and when it is judged.
+//! One service's roll-out as a VM sees it: the phase of the new version, and the status to write.
 
 use std::time::{Duration, SystemTime};
 
@@ -17,48 +17,49 @@
     secret::uniform_hash,
 };
 
-/// Part of the bound on a bad version that is used; the rest is for sessions that ask more than others.
-const USED_BOUND: f64 = 0.87;
-/// Part of an order's time, as a part of the bound, at whose end the new version takes all requests.
+/// Fraction of the bound on a bad version's requests that is used; the rest allows for sessions with more requests than
+/// others.
+const USED_SHARE_FRACTION: f64 = 0.87;
+/// Length of the full-traffic phase at the end of an order's time, as a fraction of the bound.
 ///
-/// Some versions are bad only under the load of all requests. What is left of the bound is for the trial
-/// before, so that what a bad version gets until its order's time is over stays under the bound.
-const TAKE_OVER: f64 = 0.45;
-/// Time before the deadline at which the end is written; 0.3 s before it was measured to be too late, since
-/// operators look only now and then.
-const WRITE_AHEAD: Duration = Duration::from_millis(800);
-/// Odds up to which a version is not under suspicion, so that it may take over and succeed.
-const SUSPICION: f64 = 1.5;
-/// Answers of a new version that must be known before it takes over: where half of the answers were eight times slower, bets
-/// took 26 of them to win, in the mean over 60 simulated days.
-const TRIAL_ANSWERS: f64 = 40.0;
-/// Answers that must be known from after its take-over before it has succeeded, since some versions are bad only when they have
-/// all requests: of one that fails three of ten, 92 of 100 show two failures or more in as many.
-const TAKE_OVER_ANSWERS: f64 = 12.0;
-/// Part of the answers that the version's share of the traffic should give which must be known at least, where the traffic is too
-/// small for the numbers above.
-const NEEDED_PART: f64 = 0.5;
-/// Time after the deadline for which a version that has succeeded is watched; after that it is what the next one is
-/// compared with.
-const WATCH: Duration = Duration::from_secs(3600);
-/// Time after an order from which sessions try the new version: until then VMs tell each other which sessions
-/// keep to the old one.
-const SESSION_WAIT: Duration = Duration::from_secs(2);
-/// Slots of a share; subjects fall evenly on them.
+/// Some versions are bad only under the load of all requests. The rest of the bound is for the trial before, so that
+/// the requests of a bad version stay under the bound until its order's time is over.
+const FULL_TRAFFIC_FRACTION: f64 = 0.45;
+/// Time before the deadline at which the final status is written. 0.3 s was too late in measurements, since operators
+/// poll the status at intervals.
+const STATUS_WRITE_LEAD: Duration = Duration::from_millis(800);
+/// Log odds up to which a version is not suspect, so that it may get full traffic and succeed.
+const MAX_CLEAR_LOG_ODDS: f64 = 1.5;
+/// Number of observed answers of a new version that full traffic requires. If half of the answers were eight times
+/// slower, the tests took 26 of them to show it, as the mean of 60 simulated days.
+const MIN_TRIAL_ANSWERS: f64 = 40.0;
+/// Number of answers under full traffic that success requires, since some versions are bad only when they get all
+/// requests. Of versions that fail three of ten requests, 92 of 100 show two failures or more in as many answers.
+const MIN_FULL_TRAFFIC_ANSWERS: f64 = 12.0;
+/// Fraction of the answers expected from the version's share of the traffic that suffices where the traffic is too low
+/// for the numbers above.
+const MIN_EXPECTED_FRACTION: f64 = 0.5;
+/// Time after the deadline for which a version that has succeeded is monitored. After that it serves as the next
+/// version's baseline.
+const MONITORING_TIME: Duration = Duration::from_secs(3600);
+/// Time from an order until sessions try the new version, in which VMs report to each other which sessions keep to the
+/// old one.
+const SESSION_TRIAL_DELAY: Duration = Duration::from_secs(2);
+/// Number of slots among which requests and sessions are evenly distributed, as the resolution of a share.
 const SLOTS: u64 = 10_000;
 
-/// How far a new version is trusted.
+/// The phase of a new version, which decides on its share of the requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It gets nothing: it is rolled back, or about to be.
+    /// No requests: the version is rolled back, or about to be.
     Halted,
-    /// It gets nothing yet.
+    /// No requests yet.
     Waiting,
-    /// Some subjects try it.
+    /// A share of the requests and sessions.
     Trial,
-    /// It gets everything, and is about to succeed.
-    TakeOver,
-    /// It gets everything.
+    /// All requests, before the roll-out succeeds.
+    FullTraffic,
+    /// All requests: the roll-out has succeeded.
     Succeeded,
 }
 
@@ -68,37 +69,37 @@
             Self::Halted => "halted",
             Self::Waiting => "waiting",
             Self::Trial => "trial",
-            Self::TakeOver => "take-over",
+            Self::FullTraffic => "take-over",
             Self::Succeeded => "succeeded",
         }
     }
 }
 
-/// A roll-out as this VM sees it.
+/// A service's roll-out as this VM sees it.
 #[derive(Clone, Debug)]
 pub(super) struct ServiceRollout {
     pub(super) order: RolloutOrder,
     /// When this VM learned of the order.
-    since: SystemTime,
-    /// When the first VM learned of it, as far as is known; its time counts from then.
-    pub(super) began: SystemTime,
+    learned_at: SystemTime,
+    /// When the first VM learned of the order, as far as is known. The order's duration counts from then.
+    pub(super) started_at: SystemTime,
     pub(super) outcome: RolloutOutcome,
-    /// The version that an earlier order brought, where that has succeeded.
-    pub(super) replaces: Option<SoftwareVersion>,
+    /// The version of the order before, if that has succeeded.
+    pub(super) replaced_version: Option<SoftwareVersion>,
     pub(super) versions: VersionComparison,
-    judgement: HaltDetector,
-    /// Since when enough is known of the new version for it to take over.
+    halt_detector: HaltDetector,
+    /// Since when there is enough evidence on the new version to give it full traffic.
     ready_since: Option<SystemTime>,
-    /// When this VM saw the new version take over, and how many of its answers were known then.
-    took_over: Option<(SystemTime, u64)>,
+    /// When this VM saw the full-traffic phase begin, and the number of observed answers of the new version then.
+    full_traffic_began: Option<(SystemTime, u64)>,
 }
 
-/// What should be written for an order.
+/// A status that should be written for an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatusUpdate {
     /// The status to write.
     pub status: RolloutStatus,
-    /// Why, for the log.
+    /// The reason, for the log.
     pub reason: &'static str,
 }
 
@@ -107,7 +108,7 @@
 pub struct RolloutBounds {
     /// Largest share of a service's requests that a bad version may get.
     pub max_share: f64,
-    /// Pause after which a session's next request no longer belongs to it.
+    /// Idle time after which a session ends, so that its next request starts a new one.
     pub session_idle_timeout: Duration,
 }
 
@@ -116,43 +117,43 @@
     pub(super) fn new(order: RolloutOrder, outcome: RolloutOutcome, now: SystemTime) -> Self {
         Self {
             versions: VersionComparison::new(order.service.clone(), order.version.clone()),
-            judgement: HaltDetector::default(),
+            halt_detector: HaltDetector::default(),
             order,
-            since: now,
-            began: now,
+            learned_at: now,
+            started_at: now,
             outcome,
-            replaces: None,
+            replaced_version: None,
             ready_since: Some(now),
-            took_over: None,
+            full_traffic_began: None,
         }
     }
 
-    /// Whether the version is judged: while its order is under way, and for some time after it has succeeded.
-    pub(super) fn is_watched(&self, now: SystemTime) -> bool {
+    /// Whether the version is monitored: while its roll-out is in progress, and for some time after it has succeeded.
+    pub(super) fn is_monitored(&self, now: SystemTime) -> bool {
         match self.outcome {
             RolloutOutcome::Running => true,
-            RolloutOutcome::Succeeded => now < self.began + self.order.duration + WATCH,
+            RolloutOutcome::Succeeded => now < self.started_at + self.order.duration + MONITORING_TIME,
             RolloutOutcome::RolledBack => false,
         }
     }
 
-    /// Whether the version gets nothing more.
+    /// Whether the version is halted, so that it gets no more requests.
     pub(super) fn is_halted(&self) -> bool {
-        self.outcome == RolloutOutcome::RolledBack || self.judgement.halt(self.outcome).is_some()
+        self.outcome == RolloutOutcome::RolledBack || self.halt_detector.halt(self.outcome).is_some()
     }
 
-    /// Takes it from another VM that the version is to get nothing more; tells whether that is new.
-    pub(super) fn learn_halt(&mut self, halt: HaltReason) -> bool {
-        self.outcome != RolloutOutcome::RolledBack && self.judgement.learn(halt, self.outcome)
+    /// Applies a halt that another VM reported. Returns whether it is new.
+    pub(super) fn merge_halt(&mut self, halt: HaltReason) -> bool {
+        self.outcome != RolloutOutcome::RolledBack && self.halt_detector.merge_halt(halt, self.outcome)
     }
 
-    /// Why the version gets nothing more, for the others; not once it is written.
-    pub(super) fn told_halt(&self) -> Option<ReportedHalt> {
-        let halt = self.judgement.halt(self.outcome)?;
+    /// The halt of the version, for reports to other VMs; none once the rollback is written.
+    pub(super) fn reported_halt(&self) -> Option<ReportedHalt> {
+        let halt = self.halt_detector.halt(self.outcome)?;
         Some(ReportedHalt { service: self.order.service.clone(), version: self.order.version.clone(), reason: halt })
     }
 
-    /// How far the new version is trusted.
+    /// The phase of the new version for plain requests or for sessions.
     pub(super) fn phase(&self, bounds: RolloutBounds, is_session: bool, now: SystemTime) -> Phase {
         if self.is_halted() {
             return Phase::Halted;
@@ -160,145 +161,154 @@
         if self.outcome == RolloutOutcome::Succeeded {
             return Phase::Succeeded;
         }
-        if self.takes_over_at(bounds).is_some_and(|at| now >= at) {
-            return Phase::TakeOver;
+        if self.full_traffic_at(bounds).is_some_and(|at| now >= at) {
+            return Phase::FullTraffic;
         }
-        // Sessions that began before the order keep to the old version; other VMs must learn of them first.
-        let is_early = now < self.since + SESSION_WAIT;
+        // Sessions that began before the order keep to the old version, and the reports on them must arrive first.
+        let is_early = now < self.learned_at + SESSION_TRIAL_DELAY;
         if is_session && is_early { Phase::Waiting } else { Phase::Trial }
     }
 
-    /// When the new version takes all requests; not while too little is known of it, or nothing good.
-    fn takes_over_at(&self, bounds: RolloutBounds) -> Option<SystemTime> {
-        let planned = self.began + self.order.duration.mul_f64(1.0 - self.take_over(bounds));
+    /// When the new version gets full traffic; `None` while there is too little evidence on it, or while it is suspect.
+    fn full_traffic_at(&self, bounds: RolloutBounds) -> Option<SystemTime> {
+        let planned = self.started_at + self.order.duration.mul_f64(1.0 - self.full_traffic_time_fraction(bounds));
         Some(planned.max(self.ready_since?))
     }
 
-    /// Slots of subjects that try the new version; sessions begin later than other requests.
-    pub(super) fn slots(&self, bounds: RolloutBounds, is_session: bool) -> u64 {
+    /// Number of slots whose requests or sessions try the new version. Sessions begin later than plain requests.
+    pub(super) fn trial_slots(&self, bounds: RolloutBounds, is_session: bool) -> u64 {
         let duration = self.order.duration.as_secs_f64().max(f64::MIN_POSITIVE);
-        let waited = if is_session { SESSION_WAIT.as_secs_f64() / duration } else { 0.0 };
-        let take_over = self.take_over(bounds);
-        let trial = (1.0 - waited - take_over).max(bounds.max_share);
-        let share = (USED_BOUND * bounds.max_share - take_over) / trial;
+        let delay = if is_session { SESSION_TRIAL_DELAY.as_secs_f64() / duration } else { 0.0 };
+        let full_traffic = self.full_traffic_time_fraction(bounds);
+        let trial = (1.0 - delay - full_traffic).max(bounds.max_share);
+        let share = (USED_SHARE_FRACTION * bounds.max_share - full_traffic) / trial;
         (share.max(0.0) * SLOTS as f64) as u64
     }
 
-    /// Whether there may be sessions of other versions than the one that new sessions are given: while the order is under way, and until
-    /// the last sessions of the version before have ended.
-    pub(super) fn moves_sessions(&self, bounds: RolloutBounds, now: SystemTime) -> bool {
-        let last = self.began + self.order.duration + bounds.session_idle_timeout;
-        !self.is_halted() && (self.outcome == RolloutOutcome::Running || now < last)
+    /// Whether live sessions may keep to another version than new sessions are given: while the roll-out is in
+    /// progress, and until the last sessions of the old version have ended.
+    pub(super) fn may_have_mixed_sessions(&self, bounds: RolloutBounds, now: SystemTime) -> bool {
+        let last_session_end = self.started_at + self.order.duration + bounds.session_idle_timeout;
+        !self.is_halted() && (self.outcome == RolloutOutcome::Running || now < last_session_end)
     }
 
-    /// Whether a session that was last served by a version would be given another one by a VM that does not know it.
-    pub(super) fn surprises(&self, session: &str, version: &str, bounds: RolloutBounds, now: SystemTime) -> bool {
+    /// Whether a VM that does not know a session would move it away from `version`, which served it last.
+    pub(super) fn would_move_session(
+        &self,
+        session: &str,
+        version: &str,
+        bounds: RolloutBounds,
+        now: SystemTime,
+    ) -> bool {
         if version == self.order.version {
             return false;
         }
         match self.phase(bounds, true, now) {
             Phase::Halted => false,
-            Phase::TakeOver | Phase::Succeeded => true,
+            Phase::FullTraffic | Phase::Succeeded => true,
             Phase::Waiting | Phase::Trial => {
-                let is_older = self.replaces.as_deref().is_some_and(|replaced| replaced != version);
-                is_older || place(session) < self.slots(bounds, true)
+                let is_older = self.replaced_version.as_deref().is_some_and(|replaced| replaced != version);
+                is_older || slot_of(session) < self.trial_slots(bounds, true)
             },
         }
     }
 
-    /// Part of the order's time for which the new version has all requests before the deadline.
-    fn take_over(&self, bounds: RolloutBounds) -> f64 {
+    /// Length of the full-traffic phase before the deadline, as a fraction of the order's duration.
+    fn full_traffic_time_fraction(&self, bounds: RolloutBounds) -> f64 {
         let duration = self.order.duration.as_secs_f64().max(f64::MIN_POSITIVE);
-        let written = WRITE_AHEAD.as_secs_f64() / duration;
-        (TAKE_OVER * bounds.max_share).max(written).min(1.0)
+        let write_lead = STATUS_WRITE_LEAD.as_secs_f64() / duration;
+        (FULL_TRAFFIC_FRACTION * bounds.max_share).max(write_lead).min(1.0)
     }
 
-    /// Counts the end of a try that this VM, of run `own`, made.
-    pub(super) fn note(&mut self, sample: &AttemptOutcome<'_>, own: Incarnation, now: SystemTime) {
-        if sample.version == self.order.version && sample.is_error() {
-            self.judgement.note(sample.endpoint, true, now);
+    /// Counts the outcome of an attempt that this VM, of incarnation `own`, made.
+    pub(super) fn record_outcome(&mut self, outcome: &AttemptOutcome<'_>, own: Incarnation, now: SystemTime) {
+        if outcome.version == self.order.version && outcome.is_error() {
+            self.halt_detector.record(outcome.endpoint, true, now);
         }
-        self.versions.note(sample, own);
+        self.versions.record_outcome(outcome, own);
     }
 
-    /// Counts a time of a try that this VM, of run `own`, made.
-    pub(super) fn note_time(&mut self, note: &AttemptTime<'_>, own: Incarnation, now: SystemTime) {
-        if note.version == self.order.version && matches!(note.of, TimeKind::FirstByte { .. }) {
-            self.judgement.note(note.endpoint, false, now);
+    /// Counts a time of an attempt that this VM, of incarnation `own`, made.
+    pub(super) fn record_time(&mut self, time: &AttemptTime<'_>, own: Incarnation, now: SystemTime) {
+        if time.version == self.order.version && matches!(time.of, TimeKind::FirstByte { .. }) {
+            self.halt_detector.record(time.endpoint, false, now);
         }
-        self.versions.note_time(note, own);
+        self.versions.record_time(time, own);
     }
 
-    /// What this VM saw lately of a version that has succeeded.
-    pub(super) fn tell_recent(&self, now: SystemTime) -> Option<ReportedAnswerCounts> {
-        let is_needed = self.outcome == RolloutOutcome::Succeeded && self.is_watched(now);
-        is_needed
-            .then(|| ReportedAnswerCounts { service: self.order.service.clone(), counts: self.judgement.tell(now) })
+    /// The recent answers of a version that has succeeded, for reports to other VMs.
+    pub(super) fn reported_counts(&self, now: SystemTime) -> Option<ReportedAnswerCounts> {
+        let is_needed = self.outcome == RolloutOutcome::Succeeded && self.is_monitored(now);
+        is_needed.then(|| ReportedAnswerCounts {
+            service: self.order.service.clone(),
+            counts: self.halt_detector.recent_counts(now),
+        })
     }
 
-    /// Takes what another VM saw of it lately.
-    pub(super) fn hear_recent(&mut self, from: Incarnation, seen: RecentAnswerCounts, now: SystemTime) {
-        self.judgement.hear(from, seen, now);
+    /// Merges the recent answers that another VM reported.
+    pub(super) fn merge_counts(&mut self, from: Incarnation, counts: RecentAnswerCounts, now: SystemTime) {
+        self.halt_detector.merge_counts(from, counts, now);
     }
 
-    /// Judges the new version by what is known now; tells why it gets nothing more where that is new.
-    pub(super) fn judge(&mut self, bounds: RolloutBounds, now: SystemTime) -> Option<ReportedHalt> {
-        if !self.is_watched(now) || self.is_halted() {
+    /// Evaluates the evidence that is known at `now`. Returns a halt if there is a new one.
+    pub(super) fn evaluate(&mut self, bounds: RolloutBounds, now: SystemTime) -> Option<ReportedHalt> {
+        if !self.is_monitored(now) || self.is_halted() {
             return None;
         }
-        self.judgement.judge(&mut self.versions, self.outcome, now);
-        let is_ready = self.knows_enough(bounds) && !self.is_suspect();
+        self.halt_detector.evaluate(&mut self.versions, self.outcome, now);
+        let is_ready = self.has_enough_evidence(bounds) && !self.is_suspect();
         self.ready_since = is_ready.then(|| self.ready_since.unwrap_or(now));
-        let is_taking_over = self.phase(bounds, false, now) == Phase::TakeOver;
-        let begun = self.versions.begun().0;
-        self.took_over = is_taking_over.then(|| self.took_over.unwrap_or((now, begun)));
-        self.told_halt()
+        let has_full_traffic = self.phase(bounds, false, now) == Phase::FullTraffic;
+        let observed = self.versions.observed_starts().0;
+        self.full_traffic_began = has_full_traffic.then(|| self.full_traffic_began.unwrap_or((now, observed)));
+        self.reported_halt()
     }
 
-    /// Whether too much speaks against the version for it to take over or to succeed, though too little to halt it.
+    /// Whether there is too much evidence against the version for full traffic or success, even if too little to halt
+    /// it.
     fn is_suspect(&self) -> bool {
-        self.judgement.odds().max(self.judgement.turn_odds(self.outcome)) > SUSPICION
+        self.halt_detector.log_odds().max(self.halt_detector.degradation_log_odds(self.outcome)) > MAX_CLEAR_LOG_ODDS
     }
 
-    /// Whether enough answers of the new version are known for it to take over.
-    fn knows_enough(&self, bounds: RolloutBounds) -> bool {
-        let share = self.slots(bounds, false) as f64 / SLOTS as f64;
-        let (new, all) = self.versions.begun();
-        is_enough(new, TRIAL_ANSWERS, share * all as f64)
+    /// Whether enough answers of the new version were observed to give it full traffic.
+    fn has_enough_evidence(&self, bounds: RolloutBounds) -> bool {
+        let share = self.trial_slots(bounds, false) as f64 / SLOTS as f64;
+        let (new, all) = self.versions.observed_starts();
+        is_enough(new, MIN_TRIAL_ANSWERS, share * all as f64)
     }
 
-    /// Whether enough answers are known of the time in which the new version has had all requests.
-    fn has_taken_over(&self, now: SystemTime) -> bool {
-        let Some((since, known)) = self.took_over else { return false };
+    /// Whether enough answers were observed since the new version got full traffic.
+    fn has_served_full_traffic(&self, now: SystemTime) -> bool {
+        let Some((began, observed)) = self.full_traffic_began else { return false };
         let seconds = |from: SystemTime| now.duration_since(from).unwrap_or_default().as_secs_f64();
-        let (new, all) = self.versions.begun();
-        let expected = all as f64 * seconds(since) / seconds(self.since).max(f64::MIN_POSITIVE);
-        is_enough(new.saturating_sub(known), TAKE_OVER_ANSWERS, expected)
+        let (new, all) = self.versions.observed_starts();
+        let expected = all as f64 * seconds(began) / seconds(self.learned_at).max(f64::MIN_POSITIVE);
+        is_enough(new.saturating_sub(observed), MIN_FULL_TRAFFIC_ANSWERS, expected)
     }
 
-    /// What a judgement at `now` rests on.
+    /// A summary of the evidence that is known at `now`.
     pub(super) fn evidence_summary(&self, bounds: RolloutBounds, now: SystemTime) -> EvidenceSummary {
-        let (new, old) = self.versions.counted();
+        let (new, old) = self.versions.total_counts();
         EvidenceSummary {
             service: self.order.service.clone(),
             version: self.order.version.clone(),
             phase: self.phase(bounds, false, now).name(),
-            age: now.duration_since(self.began).unwrap_or_default(),
-            log_odds: self.judgement.odds(),
-            degradation_log_odds: self.judgement.turn_odds(self.outcome),
+            age: now.duration_since(self.started_at).unwrap_or_default(),
+            log_odds: self.halt_detector.log_odds(),
+            degradation_log_odds: self.halt_detector.degradation_log_odds(self.outcome),
             new,
             old,
-            writers: self.versions.writers(),
+            writers: self.versions.writer_count(),
         }
     }
 
-    /// What should be written now, where it is not written yet.
+    /// The status that should be written at `now`, unless it is written already.
     pub(super) fn status_update(&self, written: Option<&RolloutStatus>, now: SystemTime) -> Option<StatusUpdate> {
-        let is_due = now + WRITE_AHEAD >= self.began + self.order.duration;
+        let is_due = now + STATUS_WRITE_LEAD >= self.started_at + self.order.duration;
         let (outcome, reason) = if self.is_halted() {
-            let halt = self.judgement.halt(self.outcome);
+            let halt = self.halt_detector.halt(self.outcome);
             (RolloutOutcome::RolledBack, halt.map_or("it was rolled back", HaltReason::description))
-        } else if self.outcome == RolloutOutcome::Succeeded || (is_due && self.has_taken_over(now)) {
+        } else if self.outcome == RolloutOutcome::Succeeded || (is_due && self.has_served_full_traffic(now)) {
             (RolloutOutcome::Succeeded, "the new version took all requests and is as good as the old one")
         } else {
             (RolloutOutcome::Running, "the order was taken up")
@@ -309,12 +319,12 @@
     }
 }
 
-/// Whether so many answers are enough where `wanted` would be, and so many were to be expected.
+/// Whether a number of answers suffices, if `wanted` are required and `expected` were expected from the traffic.
 fn is_enough(answers: u64, wanted: f64, expected: f64) -> bool {
-    answers as f64 >= wanted.min(NEEDED_PART * expected).floor()
+    answers as f64 >= wanted.min(MIN_EXPECTED_FRACTION * expected).floor()
 }
 
-/// Where a subject stands among the slots, evenly spread and the same on every VM and for every order.
-pub(super) fn place(subject: &str) -> u64 {
+/// The slot of a request or session: evenly distributed, and the same on every VM and for every order.
+pub(super) fn slot_of(subject: &str) -> u64 {
     uniform_hash(&[subject]) % SLOTS
 }
--- a/havengrade_core/src/published/session_affinity.rs
+++ b/havengrade_core/src/published/session_affinity.rs
@@ -1,4 +1,4 @@
-//! Sessions that keep to a version, as seen here and as other VMs tell.
+//! Session affinity: which version each session keeps to, as known to this VM and as reported by others.
 
 use std::{
     collections::HashMap,
@@ -12,171 +12,185 @@
     secret::uniform_hash,
 };
 
-/// What a session is known by between VMs.
+/// Identifies a session between VMs.
 pub type SessionFingerprint = u64;
 
-/// Sessions of other VMs that a report tells on; in a small fleet each hears of them at first hand.
-const MAX_TOLD_ON: usize = 12;
+/// Highest number of other VMs' sessions that a report relays; in a small fleet each VM learns of them directly.
+const MAX_RELAYED_SESSIONS: usize = 12;
 
-/// A session and the version that served it last, as VMs tell each other.
+/// A session and the version that served it last, as an entry of a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionAffinity {
     /// The session.
     pub session: SessionFingerprint,
     /// The version.
     pub version: SoftwareVersion,
-    /// Time since it was last served.
+    /// Time since the session was last served.
     pub used_ago: Duration,
 }
 
-/// The sessions that keep to a version.
+/// The versions of all live sessions.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AffinityTable {
-    by_session: HashMap<SessionId, Affinity>,
-    /// What other VMs told last of sessions.
-    heard: HashMap<SessionFingerprint, Affinity>,
+    local: HashMap<SessionId, Affinity>,
+    /// The latest affinities that other VMs reported.
+    reported: HashMap<SessionFingerprint, Affinity>,
 }
 
 #[derive(Clone, Debug)]
 struct Affinity {
     version: SoftwareVersion,
-    /// When its last request ended, as far as is known.
-    used: SystemTime,
-    /// Until when a request of it may be in progress.
+    /// When the session's last request ended, as far as is known.
+    last_used: SystemTime,
+    /// Until when a request of the session may be in flight.
     busy_until: SystemTime,
     /// Whether the session had another version before, of which other VMs may know.
     has_moved: bool,
-    /// Reports that told of it as it is.
-    told: u32,
+    /// Number of reports that carried the affinity as it is.
+    report_count: u32,
 }
 
 impl Affinity {
     fn is_live(&self, session_idle_timeout: Duration, now: SystemTime) -> bool {
-        now < self.used_at(now) + session_idle_timeout
+        now < self.last_used_at(now) + session_idle_timeout
     }
 
-    /// When it was last used: now, while a request of it is in progress.
-    fn used_at(&self, now: SystemTime) -> SystemTime {
-        self.used.max(self.busy_until.min(now))
+    /// When the session was last used; `now` while a request of the session is in flight.
+    fn last_used_at(&self, now: SystemTime) -> SystemTime {
+        self.last_used.max(self.busy_until.min(now))
     }
 }
 
 impl AffinityTable {
-    /// The last that is known of a session, here or from another VM.
+    /// The latest affinity of a session, from this VM or another one.
     fn latest(&self, session: &str, now: SystemTime) -> Option<&Affinity> {
-        let own = self.by_session.get(session);
-        let heard = self.heard.get(&mark(session));
-        match (own, heard) {
-            (Some(own), Some(heard)) if heard.used > own.used_at(now) => Some(heard),
-            (Some(own), _) => Some(own),
-            (None, heard) => heard,
+        let local = self.local.get(session);
+        let reported = self.reported.get(&fingerprint(session));
+        match (local, reported) {
+            (Some(local), Some(reported)) if reported.last_used > local.last_used_at(now) => Some(reported),
+            (Some(local), _) => Some(local),
+            (None, reported) => reported,
         }
     }
 
-    /// The version of a session's last request, if that ended less than `session_idle_timeout` ago.
+    /// The version of a session's last request, if that request ended less than `session_idle_timeout` ago.
     pub(super) fn version(
         &self,
         session: &str,
         session_idle_timeout: Duration,
         now: SystemTime,
     ) -> Option<&SoftwareVersion> {
-        let pin = self.latest(session, now).filter(|pin| pin.is_live(session_idle_timeout, now))?;
-        Some(&pin.version)
+        let affinity = self.latest(session, now).filter(|affinity| affinity.is_live(session_idle_timeout, now))?;
+        Some(&affinity.version)
     }
 
-    /// Time until a session ends, if it is live.
-    pub(super) fn left(&self, session: &str, session_idle_timeout: Duration, now: SystemTime) -> Option<Duration> {
-        let pin = self.latest(session, now)?;
-        (pin.used_at(now) + session_idle_timeout).duration_since(now).ok()
+    /// Time until a session ends, if the session is live.
+    pub(super) fn time_left(&self, session: &str, session_idle_timeout: Duration, now: SystemTime) -> Option<Duration> {
+        let affinity = self.latest(session, now)?;
+        (affinity.last_used_at(now) + session_idle_timeout).duration_since(now).ok()
     }
 
-    /// Notes which version answers a session, with a request that may be in progress until `busy_until`.
-    pub(super) fn pin(&mut self, session: &str, version: &str, busy_until: SystemTime, now: SystemTime) {
+    /// Sets the version of a session, with a request that may be in flight until `busy_until`.
+    pub(super) fn set(&mut self, session: &str, version: &str, busy_until: SystemTime, now: SystemTime) {
         let has_moved = self.latest(session, now).is_some_and(|known| known.version != version);
-        match self.by_session.get_mut(session) {
-            Some(pin) => {
-                if pin.version != version {
-                    version.clone_into(&mut pin.version);
+        match self.local.get_mut(session) {
+            Some(affinity) => {
+                if affinity.version != version {
+                    version.clone_into(&mut affinity.version);
                 }
-                pin.used = now;
-                pin.busy_until = busy_until;
-                pin.has_moved |= has_moved;
-                pin.told = 0;
+                affinity.last_used = now;
+                affinity.busy_until = busy_until;
+                affinity.has_moved |= has_moved;
+                affinity.report_count = 0;
             },
             None => {
-                let pin = Affinity { version: version.to_owned(), used: now, busy_until, has_moved, told: 0 };
-                self.by_session.insert(session.to_owned(), pin);
+                let affinity =
+                    Affinity { version: version.to_owned(), last_used: now, busy_until, has_moved, report_count: 0 };
+                self.local.insert(session.to_owned(), affinity);
             },
         }
     }
 
-    /// Lets a session's pause count from `now`, if it still keeps to the version.
-    pub(super) fn touch(&mut self, session: &str, version: &str, now: SystemTime) {
-        if let Some(pin) = self.by_session.get_mut(session).filter(|pin| pin.version == version) {
-            pin.used = now;
-            pin.busy_until = now;
-            pin.told = 0;
+    /// Restarts a session's idle timeout at `now`, if the session still keeps to the version.
+    pub(super) fn extend(&mut self, session: &str, version: &str, now: SystemTime) {
+        if let Some(affinity) = self.local.get_mut(session).filter(|affinity| affinity.version == version) {
+            affinity.last_used = now;
+            affinity.busy_until = now;
+            affinity.report_count = 0;
         }
     }
 
-    /// Notes that no request of a session is in progress any longer.
-    pub(super) fn end(&mut self, session: &str, now: SystemTime) {
-        if let Some(pin) = self.by_session.get_mut(session) {
-            // A request that was refused meanwhile does not prolong the session.
-            pin.used = pin.used_at(now);
-            pin.busy_until = pin.busy_until.min(now);
+    /// Records that no request of a session is in flight any longer.
+    pub(super) fn mark_idle(&mut self, session: &str, now: SystemTime) {
+        if let Some(affinity) = self.local.get_mut(session) {
+            // A request that was refused in the meantime does not prolong the session.
+            affinity.last_used = affinity.last_used_at(now);
+            affinity.busy_until = affinity.busy_until.min(now);
         }
     }
 
-    /// Forgets sessions that rested for longer than `session_idle_timeout`.
+    /// Removes sessions that have been idle for longer than `session_idle_timeout`.
     pub(super) fn prune(&mut self, session_idle_timeout: Duration, now: SystemTime) {
-        self.by_session.retain(|_, pin| pin.is_live(session_idle_timeout, now));
-        self.heard.retain(|_, pin| pin.is_live(session_idle_timeout, now));
+        self.local.retain(|_, affinity| affinity.is_live(session_idle_timeout, now));
+        self.reported.retain(|_, affinity| affinity.is_live(session_idle_timeout, now));
     }
 
-    /// Takes what another VM tells of a session, unless something later is known.
-    pub(super) fn hear(&mut self, kept: SessionAffinity, now: SystemTime) {
-        let used = time_from_age(kept.used_ago, now);
-        if self.heard.get(&kept.session).is_some_and(|known| known.used >= used) {
+    /// Merges an affinity that another VM reported, unless a later one is known.
+    pub(super) fn merge(&mut self, entry: SessionAffinity, now: SystemTime) {
+        let last_used = time_from_age(entry.used_ago, now);
+        if self.reported.get(&entry.session).is_some_and(|known| known.last_used >= last_used) {
             return;
         }
-        // Told on once, for those who did not hear it.
-        let pin =
-            Affinity { version: kept.version, used, busy_until: used, has_moved: false, told: REPORTS_PER_ENTRY - 1 };
-        self.heard.insert(kept.session, pin);
+        // Relayed in a single report, for VMs that missed the original one.
+        let affinity = Affinity {
+            version: entry.version,
+            last_used,
+            busy_until: last_used,
+            has_moved: false,
+            report_count: REPORTS_PER_ENTRY - 1,
+        };
+        self.reported.insert(entry.session, affinity);
     }
 
-    /// The sessions of which others are to know: of this VM's own those that `is_wanted` picks by their versions, and those that moved;
-    /// after them all of the others'. At most `most`, those first that were told least often; none more often than [`REPORTS_PER_ENTRY`].
-    pub(super) fn tell(
+    /// The affinities of the next report, at most `max_count`: this VM's own sessions whose versions `is_relevant`
+    /// selects or that have moved, the least reported first, and after them those of other VMs. None goes into more
+    /// than [`REPORTS_PER_ENTRY`] reports.
+    pub(super) fn next_report(
         &mut self,
-        is_wanted: impl Fn(&SessionId, &SoftwareVersion) -> bool,
-        most: usize,
+        is_relevant: impl Fn(&SessionId, &SoftwareVersion) -> bool,
+        max_count: usize,
         session_idle_timeout: Duration,
         now: SystemTime,
     ) -> Vec<SessionAffinity> {
-        let is_due = |pin: &Affinity| pin.told < REPORTS_PER_ENTRY && pin.is_live(session_idle_timeout, now);
-        let own = self.by_session.iter_mut().filter(|(id, pin)| pin.has_moved || is_wanted(id, &pin.version));
-        let own = own.map(|(id, pin)| (mark(id), pin)).filter(|(_, pin)| is_due(pin));
-        let heard = self.heard.iter_mut().map(|(session, pin)| (*session, pin)).filter(|(_, pin)| is_due(pin));
-        let mut due: Vec<(SessionFingerprint, &mut Affinity)> = own.collect();
-        due.sort_by_key(|(session, pin)| (pin.told, *session));
-        let mut told_on: Vec<(SessionFingerprint, &mut Affinity)> = heard.collect();
-        told_on.sort_by_key(|(session, _)| *session);
-        told_on.truncate(MAX_TOLD_ON);
-        // Nobody else tells of this VM's own.
-        due.extend(told_on);
-        due.truncate(most);
-        let tell = |(session, pin): (SessionFingerprint, &mut Affinity)| {
-            pin.told += 1;
-            let used_ago = now.duration_since(pin.used_at(now)).unwrap_or_default();
-            SessionAffinity { session, version: pin.version.clone(), used_ago }
+        let is_due = |affinity: &Affinity| {
+            affinity.report_count < REPORTS_PER_ENTRY && affinity.is_live(session_idle_timeout, now)
+        };
+        let local =
+            self.local.iter_mut().filter(|(id, affinity)| affinity.has_moved || is_relevant(id, &affinity.version));
+        let local = local.map(|(id, affinity)| (fingerprint(id), affinity)).filter(|(_, affinity)| is_due(affinity));
+        let reported = self
+            .reported
+            .iter_mut()
+            .map(|(session, affinity)| (*session, affinity))
+            .filter(|(_, affinity)| is_due(affinity));
+        let mut due: Vec<(SessionFingerprint, &mut Affinity)> = local.collect();
+        due.sort_by_key(|(session, affinity)| (affinity.report_count, *session));
+        let mut relayed: Vec<(SessionFingerprint, &mut Affinity)> = reported.collect();
+        relayed.sort_by_key(|(session, _)| *session);
+        relayed.truncate(MAX_RELAYED_SESSIONS);
+        // This VM's own sessions come first, since no other VM reports them.
+        due.extend(relayed);
+        due.truncate(max_count);
+        let entry = |(session, affinity): (SessionFingerprint, &mut Affinity)| {
+            affinity.report_count += 1;
+            let used_ago = now.duration_since(affinity.last_used_at(now)).unwrap_or_default();
+            SessionAffinity { session, version: affinity.version.clone(), used_ago }
         };
-        due.into_iter().map(tell).collect()
+        due.into_iter().map(entry).collect()
     }
 }
 
-/// What a session is known by between VMs.
-pub(super) fn mark(session: &str) -> SessionFingerprint {
+/// Identifies a session between VMs.
+pub(super) fn fingerprint(session: &str) -> SessionFingerprint {
     uniform_hash(&[session, "mark"])
 }
--- a/havengrade_core/src/published/time_histogram.rs
+++ b/havengrade_core/src/published/time_histogram.rs
@@ -110,8 +110,8 @@
     time.as_secs_f64() * 1000.0 / work.max(1.0)
 }
 
-/// How busy an endpoint was when a request was sent to it. A busy endpoint of any version answers more slowly, so that times are
-/// compared only with those at equal load.
+/// How busy an endpoint was when a request was sent to it. A busy endpoint of any version answers more slowly, so that
+/// times are compared only with those at equal load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Load {
     /// At most a quarter of the endpoint's slots are in use.
--- a/havengrade_core/tests/published_rollout.rs
+++ b/havengrade_core/tests/published_rollout.rs
@@ -330,7 +330,7 @@
     assert!(rollouts.merge_status(status("v2", RolloutOutcome::RolledBack)));
     assert!(!rollouts.merge_status(status("v2", RolloutOutcome::Running)));
     assert!(!rollouts.merge_status(status("v1", RolloutOutcome::Succeeded)));
-    assert_eq!(rollouts.written("events"), Some(&status("v2", RolloutOutcome::RolledBack)));
+    assert_eq!(rollouts.written_status("events"), Some(&status("v2", RolloutOutcome::RolledBack)));
 }
 
 #[test]
