--- a/havengrade_core/tests/published_fleet.rs
+++ b/havengrade_core/tests/published_fleet.rs
@@ -1,4 +1,4 @@
-//! Decisions on the other VMs of published routes: whose reports count, and who reads the store.
+//! Reports between VMs of published routes: which of them count, and which VMs read the store.
 
 use std::{
     collections::HashMap,
@@ -38,7 +38,7 @@
     assert_eq!(peers.work("a").requests, 7);
 }
 
-/// The failure domains of those whom a report goes to, in a fleet with so many VMs in each.
+/// The failure domains of the VMs that receive a report, in a fleet with this many VMs in each.
 fn report_targets(vms: &[(&str, u8)], from: &str, seed: u64) -> Vec<String> {
     let mut peers = Peers::default();
     let mut domains = HashMap::new();
@@ -61,11 +61,11 @@
     let near = large.iter().filter(|domain| *domain == "d1").count();
     assert_eq!((near, large.len() - near), (20, 3));
     let scattered = report_targets(&[("d1", 2), ("d2", 30)], "d1", 1);
-    assert_eq!(scattered.len(), 8, "with few VMs nearby, others make up for them");
+    assert_eq!(scattered.len(), 8, "other failure domains fill up for a small one");
 }
 
 #[test]
-fn a_silent_vm_has_no_work_and_is_forgotten() {
+fn a_silent_vm_has_no_work_and_is_removed() {
     let mut peers = Peers::default();
     peers.apply_report(report(1, 1, 5), at(0));
     peers.expire(START + REPORT_LIFETIME);
@@ -76,29 +76,29 @@
 }
 
 #[test]
-fn readers_that_do_not_answer_are_passed_over_for_a_time() {
+fn readers_that_do_not_answer_are_skipped_for_a_time() {
     let vms: Vec<String> = (0..20).map(|index| format!("vm-{index}")).collect();
     let me = &vms[0];
     let mut readers = ReaderSelection::default();
     let among = |readers: &ReaderSelection, ms| -> Vec<String> {
         readers.select(vms.iter(), me, at(ms)).into_iter().cloned().collect()
     };
-    let usual = among(&readers, 0);
-    assert_eq!(usual.len(), 2);
-    readers.record_miss(&usual[0], at(0));
-    assert_eq!(among(&readers, 0), usual, "one datagram may be lost");
-    readers.record_miss(&usual[0], at(400));
+    let initial = among(&readers, 0);
+    assert_eq!(initial.len(), 2);
+    readers.record_miss(&initial[0], at(0));
+    assert_eq!(among(&readers, 0), initial, "one datagram may be lost");
+    readers.record_miss(&initial[0], at(400));
     let without = among(&readers, 400);
-    assert!(!without.contains(&usual[0]) && without.len() == 2);
-    assert_eq!(among(&readers, 2_400), usual, "it is asked again after a time");
-    readers.record_miss(&usual[0], at(2_400));
+    assert!(!without.contains(&initial[0]) && without.len() == 2);
+    assert_eq!(among(&readers, 2_400), initial, "it is asked again after a time");
+    readers.record_miss(&initial[0], at(2_400));
     assert_eq!(among(&readers, 6_300), without, "each further miss doubles the time");
-    readers.record_answer(&usual[0]);
-    assert_eq!(among(&readers, 2_400), usual);
+    readers.record_answer(&initial[0]);
+    assert_eq!(among(&readers, 2_400), initial);
 }
 
 #[test]
-fn a_vm_never_passes_itself_over() {
+fn a_vm_never_skips_itself() {
     let me = "vm-0".to_owned();
     let mut readers = ReaderSelection::default();
     (0..9).for_each(|_| readers.record_miss(&me, at(0)));
--- a/havengrade_core/tests/quarantine.rs
+++ b/havengrade_core/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that crash endpoints, told from those that only were there.
+//! Quarantine of requests that crash endpoints, and its distinction from requests that merely were in progress there.
+
 #![allow(clippy::unwrap_used)]
 
 use std::time::{Duration, SystemTime};
@@ -7,13 +8,13 @@
 
 const V1: u64 = 1;
 const V2: u64 = 2;
-const NONE: [u64; 0] = [];
+const NO_REQUESTS: [u64; 0] = [];
 
 fn at(millis: u64) -> SystemTime {
     SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000) + Duration::from_millis(millis)
 }
 
-/// An endpoint ends under requests, each with the milliseconds for which it ran.
+/// Crashes an endpoint while requests are in progress there, each with its run time in milliseconds.
 fn crash(quarantine: &mut Quarantine, endpoint: &str, requests: &[(u64, u64)], millis: u64) {
     for (fingerprint, ran_for) in requests {
         quarantine.record_broken_attempt((*fingerprint, V1), endpoint, Duration::from_millis(*ran_for), at(millis));
@@ -21,7 +22,7 @@
     quarantine.record_endpoint_exit(endpoint, at(millis + 2));
 }
 
-fn judged(quarantine: &mut Quarantine, millis: u64) -> Vec<u64> {
+fn newly_quarantined(quarantine: &mut Quarantine, millis: u64) -> Vec<u64> {
     let changes = quarantine.quarantine_suspects(at(millis)).into_iter();
     let mut fingerprints: Vec<u64> = changes
         .filter_map(|change| match change {
@@ -33,49 +34,54 @@
     fingerprints
 }
 
-/// A request that was held back for three crashes, the last one at 2 s.
-fn held() -> Quarantine {
+/// A quarantine with a request that caused three crashes, the last one at 2 s.
+fn quarantine_with_request() -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (endpoint, millis) in [("e1", 0), ("e2", 1000), ("e3", 2000)] {
         crash(&mut quarantine, endpoint, &[(7, 60)], millis);
     }
-    assert_eq!(judged(&mut quarantine, 2500), NONE, "what others saw may still come in");
+    assert_eq!(newly_quarantined(&mut quarantine, 2500), NO_REQUESTS, "reports of other VMs may still be in transit");
     assert!(matches!(quarantine.status(7, at(2500)), QuarantineStatus::Pending { .. }));
-    assert_eq!(judged(&mut quarantine, 3100), [7]);
+    assert_eq!(newly_quarantined(&mut quarantine, 3100), [7]);
     quarantine
 }
 
 #[test]
-fn lost_connections_to_endpoints_that_are_there_say_nothing() {
+fn lost_connections_to_live_endpoints_are_no_evidence() {
     let mut quarantine = Quarantine::default();
     for millis in (0..20_000).step_by(1000) {
         quarantine.record_broken_attempt((7, V1), "e1", Duration::ZERO, at(millis));
         quarantine.record_endpoint_alive("e1");
     }
-    assert_eq!(judged(&mut quarantine, 30_000), NONE);
+    assert_eq!(newly_quarantined(&mut quarantine, 30_000), NO_REQUESTS);
     assert!(!quarantine.needs_fingerprints());
 }
 
-/// Seen: a request that had ended three endpoints was sent six times more, since its first ends were not known to be its own. Cause: its model doubted
-/// its answer, so that the try was given up some ten milliseconds before the endpoint ended, and nothing was noted of it.
+/// A request whose attempts are abandoned some ten milliseconds before their endpoints crash, as when the router
+/// falls back to another model, must still be attributed these crashes. One such request was sent six times more
+/// after it had crashed three endpoints.
 #[test]
-fn a_try_that_was_given_up_just_before_its_endpoint_ended_was_at_the_crash() {
+fn a_crash_is_attributed_to_an_attempt_that_was_abandoned_just_before() {
     let mut quarantine = Quarantine::default();
-    let left_for = |quarantine: &mut Quarantine, endpoint: &str, left: u64, ended: u64| {
+    let abandon_and_crash = |quarantine: &mut Quarantine, endpoint: &str, left: u64, ended: u64| {
         quarantine.record_abandoned_attempt((7, V1), endpoint, Duration::from_millis(30), at(left));
         crash(quarantine, endpoint, &[(100 + ended, 500)], ended);
     };
-    left_for(&mut quarantine, "e1", 0, 70);
-    left_for(&mut quarantine, "e2", 1000, 1070);
-    left_for(&mut quarantine, "e3", 2000, 2600);
-    assert_eq!(judged(&mut quarantine, 4000), NONE, "the third endpoint ended too late for it");
-    left_for(&mut quarantine, "e4", 5000, 5070);
-    assert_eq!(judged(&mut quarantine, 7000), [7]);
+    abandon_and_crash(&mut quarantine, "e1", 0, 70);
+    abandon_and_crash(&mut quarantine, "e2", 1000, 1070);
+    abandon_and_crash(&mut quarantine, "e3", 2000, 2600);
+    assert_eq!(
+        newly_quarantined(&mut quarantine, 4000),
+        NO_REQUESTS,
+        "the third endpoint crashed too late to be attributed to it"
+    );
+    abandon_and_crash(&mut quarantine, "e4", 5000, 5070);
+    assert_eq!(newly_quarantined(&mut quarantine, 7000), [7]);
 }
 
-/// The same where only another VM had a try that broke there.
+/// As above, but only another VM has an attempt that failed there.
 #[test]
-fn a_try_that_was_given_up_was_at_a_crash_that_another_vm_saw() {
+fn a_crash_that_another_vm_reports_is_attributed_to_an_abandoned_attempt() {
     let (mut here, mut other) = (Quarantine::default(), Quarantine::default());
     for (index, endpoint) in ["e1", "e2", "e3"].into_iter().enumerate() {
         let left = 1000 * index as u64;
@@ -83,33 +89,33 @@
         crash(&mut other, endpoint, &[(100 + left, 500)], left + 70);
         here.merge_report(other.next_report(at(left + 90)), at(left + 100));
     }
-    assert_eq!(judged(&mut here, 5000), [7]);
+    assert_eq!(newly_quarantined(&mut here, 5000), [7]);
 }
 
 #[test]
-fn a_crash_counts_once_however_many_tries_break_at_it() {
+fn a_crash_counts_once_however_many_attempts_fail_at_it() {
     let mut quarantine = Quarantine::default();
     for endpoint in ["e1", "e2"] {
         crash(&mut quarantine, endpoint, &[(7, 60), (7, 40), (7, 10)], 0);
         quarantine.record_broken_attempt((7, V1), endpoint, Duration::ZERO, at(300));
     }
-    assert_eq!(judged(&mut quarantine, 5000), NONE);
+    assert_eq!(newly_quarantined(&mut quarantine, 5000), NO_REQUESTS);
     crash(&mut quarantine, "e1", &[(7, 60)], 4000);
-    assert_eq!(judged(&mut quarantine, 6000), [7], "an endpoint that was back ended again");
+    assert_eq!(newly_quarantined(&mut quarantine, 6000), [7], "a restarted endpoint crashed again");
 }
 
 #[test]
-fn of_requests_at_the_same_crashes_those_that_were_at_more_of_them_are_held() {
+fn of_requests_with_common_crashes_the_one_with_the_most_is_quarantined() {
     let mut quarantine = Quarantine::default();
     crash(&mut quarantine, "e1", &[(7, 60), (1, 400), (2, 10)], 0);
     crash(&mut quarantine, "e2", &[(7, 60), (1, 900), (3, 50)], 100);
     crash(&mut quarantine, "e3", &[(7, 60), (1, 200), (4, 50)], 200);
     crash(&mut quarantine, "e4", &[(7, 60), (2, 30)], 300);
-    assert_eq!(judged(&mut quarantine, 2000), [7], "the one that ran for longer is explained by it");
+    assert_eq!(newly_quarantined(&mut quarantine, 2000), [7], "the crashes of the slower request are explained by it");
 }
 
 #[test]
-fn several_causes_are_all_held() {
+fn several_causes_are_all_quarantined() {
     let mut quarantine = Quarantine::default();
     for (index, fingerprint) in [7, 8, 7, 8, 8, 7].into_iter().enumerate() {
         crash(
@@ -119,57 +125,57 @@
             200 * index as u64,
         );
     }
-    assert_eq!(judged(&mut quarantine, 3000), [7, 8]);
+    assert_eq!(newly_quarantined(&mut quarantine, 3000), [7, 8]);
 }
 
-/// Seen: requests that wait at busy endpoints before they crash them were at twelve crashes before they were held back. Cause: any suspect that broke
-/// sooner after it was sent made them look innocent, though it had been at other crashes.
+/// Requests that wait at busy endpoints before they crash them have long run times. Suspects with shorter run times
+/// at other crashes must not make them look harmless, which delayed their quarantine until the twelfth crash.
 #[test]
-fn a_cause_that_waits_before_it_runs_is_held_whatever_broke_sooner_elsewhere() {
+fn a_cause_that_waits_before_it_runs_is_quarantined_despite_faster_suspects() {
     let mut quarantine = Quarantine::default();
     for (index, ran_for) in [1047, 259, 173, 306, 855, 78].into_iter().enumerate() {
-        let beside = 100 + index as u64 / 2;
-        crash(&mut quarantine, &format!("e{index}"), &[(7, ran_for), (beside, 15)], 100 * index as u64);
+        let bystander = 100 + index as u64 / 2;
+        crash(&mut quarantine, &format!("e{index}"), &[(7, ran_for), (bystander, 15)], 100 * index as u64);
     }
     for index in 10..13 {
         crash(&mut quarantine, &format!("e{index}"), &[(8, 20)], 100 * index);
     }
-    assert_eq!(judged(&mut quarantine, 3000), [7, 8]);
+    assert_eq!(newly_quarantined(&mut quarantine, 3000), [7, 8]);
 }
 
 #[test]
-fn a_request_that_is_answered_is_innocent_until_it_is_at_many_more_crashes() {
+fn an_answered_request_is_quarantined_only_after_many_more_crashes() {
     let mut quarantine = Quarantine::default();
     quarantine.record_answer((1, V1), at(0));
     for index in 0..11 {
         crash(&mut quarantine, &format!("e{index}"), &[(1, 60)], 1000 + index);
     }
-    assert_eq!(judged(&mut quarantine, 5000), NONE);
+    assert_eq!(newly_quarantined(&mut quarantine, 5000), NO_REQUESTS);
     crash(&mut quarantine, "e11", &[(1, 60)], 4000);
-    assert_eq!(judged(&mut quarantine, 6000), [1]);
+    assert_eq!(newly_quarantined(&mut quarantine, 6000), [1]);
 }
 
 #[test]
-fn an_answer_of_the_version_before_says_nothing_on_the_new_one() {
+fn an_answer_of_the_old_version_is_no_evidence_for_the_new_one() {
     let mut quarantine = Quarantine::default();
     quarantine.record_answer((7, V2), at(0));
     for (endpoint, millis) in [("e1", 1000), ("e2", 2000), ("e3", 3000)] {
         crash(&mut quarantine, endpoint, &[(7, 60)], millis);
         quarantine.record_answer((7, V2), at(millis + 500));
     }
-    assert_eq!(judged(&mut quarantine, 5000), [7]);
+    assert_eq!(newly_quarantined(&mut quarantine, 5000), [7]);
     assert_eq!(quarantine.record_answer((7, V2), at(6000)), None);
     assert_eq!(quarantine.record_answer((7, V1), at(7000)), Some(QuarantineChange::Released { fingerprint: 7 }));
 }
 
 #[test]
-fn a_request_is_tried_once_more_and_is_free_when_it_is_answered() {
-    let mut quarantine = held();
+fn a_trial_releases_a_request_that_is_answered() {
+    let mut quarantine = quarantine_with_request();
     assert!(matches!(quarantine.status(7, at(4000)), QuarantineStatus::Pending { .. }));
-    let QuarantineStatus::TrialDue(hold) = quarantine.status(7, at(5200)) else { panic!("no trial") };
-    let claimed = next_trial(&[], &hold, at(5200)).unwrap();
+    let QuarantineStatus::TrialDue(entry) = quarantine.status(7, at(5200)) else { panic!("no trial") };
+    let claimed = next_trial(&[], &entry, at(5200)).unwrap();
     quarantine.record_trials(7, claimed.trials, claimed.last_trial);
-    assert!(matches!(quarantine.status(7, at(5300)), QuarantineStatus::Pending { .. }), "it is being last_trial");
+    assert!(matches!(quarantine.status(7, at(5300)), QuarantineStatus::Pending { .. }), "its trial is running");
     assert!(
         matches!(quarantine.status(7, at(9000)), QuarantineStatus::Pending { decided_in } if decided_in.as_secs() > 500)
     );
@@ -178,16 +184,16 @@
 }
 
 #[test]
-fn no_trial_begins_while_endpoints_end() {
-    let mut quarantine = held();
+fn no_trial_starts_while_endpoints_crash() {
+    let mut quarantine = quarantine_with_request();
     crash(&mut quarantine, "e9", &[(8, 60)], 5000);
     assert!(matches!(quarantine.status(7, at(5200)), QuarantineStatus::Pending { .. }));
     assert!(matches!(quarantine.status(7, at(6600)), QuarantineStatus::TrialDue(_)));
 }
 
 #[test]
-fn one_trial_runs_at_a_time_whichever_request_it_is_of() {
-    let hold = |fingerprint| QuarantineEntry {
+fn trials_of_all_requests_run_one_at_a_time() {
+    let entry = |fingerprint| QuarantineEntry {
         fingerprint,
         version: V1,
         first_crash: at(0),
@@ -196,33 +202,33 @@
         trials: 0,
         last_trial: None,
     };
-    let first = next_trial(&[hold(7), hold(8)], &hold(7), at(5000)).unwrap();
+    let first = next_trial(&[entry(7), entry(8)], &entry(7), at(5000)).unwrap();
     assert_eq!((first.trials, first.last_trial), (1, Some(at(5000))));
-    assert_eq!(next_trial(&[first, hold(8)], &hold(8), at(6900)), None);
-    assert_eq!(next_trial(&[first, hold(8)], &hold(7), at(9000)), None, "its first trial was claimed");
-    assert!(next_trial(&[first, hold(8)], &hold(8), at(7100)).is_some());
+    assert_eq!(next_trial(&[first, entry(8)], &entry(8), at(6900)), None);
+    assert_eq!(next_trial(&[first, entry(8)], &entry(7), at(9000)), None, "its first trial is claimed");
+    assert!(next_trial(&[first, entry(8)], &entry(8), at(7100)).is_some());
     let from_a_wrong_clock = QuarantineEntry { last_trial: Some(at(60_000)), ..first };
-    assert!(next_trial(&[from_a_wrong_clock], &hold(8), at(7100)).is_some());
+    assert!(next_trial(&[from_a_wrong_clock], &entry(8), at(7100)).is_some());
 }
 
 #[test]
-fn crashes_that_three_vms_saw_add_up_also_where_reports_come_twice_or_late() {
+fn crashes_from_three_vms_add_up_despite_duplicate_or_late_reports() {
     let mut vms: Vec<Quarantine> = vec![Quarantine::default(); 3];
     for (index, vm) in vms.iter_mut().enumerate() {
         crash(vm, &format!("e{index}"), &[(7, 60)], 100 * index as u64);
     }
-    let news: Vec<_> = vms.iter_mut().map(|vm| vm.next_report(at(400))).collect();
+    let reports: Vec<_> = vms.iter_mut().map(|vm| vm.next_report(at(400))).collect();
     for (index, vm) in vms.iter_mut().enumerate() {
-        for (from, news) in news.iter().enumerate().filter(|(from, _)| *from != index) {
-            vm.merge_report(news.clone(), at(410 + 20 * from as u64));
-            vm.merge_report(news.clone(), at(460 + 20 * from as u64));
+        for (from, report) in reports.iter().enumerate().filter(|(from, _)| *from != index) {
+            vm.merge_report(report.clone(), at(410 + 20 * from as u64));
+            vm.merge_report(report.clone(), at(460 + 20 * from as u64));
         }
-        assert_eq!(judged(vm, 1600), [7]);
+        assert_eq!(newly_quarantined(vm, 1600), [7]);
     }
 }
 
 #[test]
-fn an_answer_that_one_vm_saw_speaks_for_the_request_everywhere() {
+fn an_answer_at_one_vm_is_evidence_at_all_vms() {
     let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
     there.record_answer((1, V1), at(0));
     for (endpoint, millis) in [("e1", 1000), ("e2", 1100), ("e3", 1200)] {
@@ -230,15 +236,15 @@
     }
     there.merge_report(here.next_report(at(1300)), at(1310));
     here.merge_report(there.next_report(at(1400)), at(1410));
-    assert_eq!(judged(&mut here, 2500), NONE);
-    assert_eq!(judged(&mut there, 2500), NONE);
+    assert_eq!(newly_quarantined(&mut here, 2500), NO_REQUESTS);
+    assert_eq!(newly_quarantined(&mut there, 2500), NO_REQUESTS);
 }
 
 #[test]
-fn a_vm_that_starts_learns_what_is_held_and_what_was_seen() {
-    let mut here = held();
+fn a_starting_vm_learns_quarantined_requests_and_observed_crashes() {
+    let mut here = quarantine_with_request();
     crash(&mut here, "e8", &[(9, 60)], 3200);
-    assert_eq!(here.full_report(at(3300)), None, "it does not know itself what was held before its start");
+    assert_eq!(here.full_report(at(3300)), None, "it has not loaded the entries from before its own start");
     here.set_loaded();
     let mut started = Quarantine::default();
     let changes = started.merge_report(here.full_report(at(3300)).unwrap(), at(3310));
@@ -246,29 +252,30 @@
     for (endpoint, millis) in [("e6", 3400), ("e7", 3500)] {
         crash(&mut started, endpoint, &[(9, 60)], millis);
     }
-    assert_eq!(judged(&mut started, 5000), [9]);
+    assert_eq!(newly_quarantined(&mut started, 5000), [9]);
 }
 
 #[test]
-fn what_is_kept_outlasts_all_vms_with_its_trials() {
-    let mut here = held();
+fn stored_entries_outlive_all_vms_with_their_trials() {
+    let mut here = quarantine_with_request();
     let kept = here.unstored();
     here.set_stored(7);
     assert!(here.unstored().is_empty());
-    let last_trial = QuarantineEntry { trials: 2, ..kept[0] };
+    let tried_twice = QuarantineEntry { trials: 2, ..kept[0] };
     let mut started = Quarantine::default();
-    started.merge_stored(&[last_trial], at(20_000));
-    assert!(
-        matches!(started.status(7, at(20_000)), QuarantineStatus::Quarantined { retry_after } if retry_after.as_secs() > 3600)
-    );
+    started.merge_stored(&[tried_twice], at(20_000));
+    assert!(matches!(
+        started.status(7, at(20_000)),
+        QuarantineStatus::Quarantined { retry_after } if retry_after.as_secs() > 3600
+    ));
     assert!(started.unstored().is_empty());
     let mut later = Quarantine::default();
-    later.merge_stored(&[last_trial], at(25 * 3600 * 1000));
+    later.merge_stored(&[tried_twice], at(25 * 3600 * 1000));
     assert_eq!(later.status(7, at(25 * 3600 * 1000)), QuarantineStatus::Free);
 }
 
 #[test]
-fn reports_tell_a_little_at_a_time_and_everything_in_turn() {
+fn reports_are_small_and_cover_everything_in_turn() {
     let mut here = Quarantine::default();
     for index in 0..200 {
         crash(&mut here, &format!("e{index}"), &[(index, 60)], 0);
@@ -276,20 +283,20 @@
     let mut there = Quarantine::default();
     let mut reports = 0;
     while here.has_unreported() {
-        let news = here.next_report(at(100));
-        assert!(news.crashes.len() <= 16, "{} in a report", news.crashes.len());
-        there.merge_report(news, at(110));
+        let report = here.next_report(at(100));
+        assert!(report.crashes.len() <= 16, "{} in a report", report.crashes.len());
+        there.merge_report(report, at(110));
         reports += 1;
     }
     assert!(reports <= 200 / 16 + 1, "{reports}");
     for (fingerprint, endpoint) in [(5, "f1"), (5, "f2"), (150, "f3"), (150, "f4")] {
         crash(&mut there, endpoint, &[(fingerprint, 60)], 500);
     }
-    assert_eq!(judged(&mut there, 3000), [5, 150]);
+    assert_eq!(newly_quarantined(&mut there, 3000), [5, 150]);
 }
 
 #[test]
-fn memory_stays_bounded_where_endpoints_end_all_the_time() {
+fn memory_stays_bounded_while_endpoints_crash_all_the_time() {
     let mut quarantine = Quarantine::default();
     for index in 0..10_000 {
         crash(&mut quarantine, &format!("e{index}"), &[(index, 60)], index);
@@ -299,7 +306,10 @@
     }
     quarantine.prune(at(10_000));
     quarantine.set_loaded();
-    let handed = quarantine.full_report(at(10_000)).unwrap();
-    assert_eq!(handed.crashes.len(), 96);
-    assert!(handed.crashes.iter().all(|crash| crash.age < Duration::from_millis(200)), "the newest are kept");
+    let transferred = quarantine.full_report(at(10_000)).unwrap();
+    assert_eq!(transferred.crashes.len(), 96);
+    assert!(
+        transferred.crashes.iter().all(|crash| crash.age < Duration::from_millis(200)),
+        "the latest crashes are kept"
+    );
 }
--- a/havengrade_core/tests/ranking.rs
+++ b/havengrade_core/tests/ranking.rs
@@ -1,4 +1,4 @@
-//! Orders that VMs of different builds must work out alike: known values, which may never change.
+//! Known ranks, which must never change: VMs of different builds must compute the same order.
 
 use havengrade_core::ranking::rank;
 
