--- a/havengrade_core/src/published/directory.rs
+++ b/havengrade_core/src/published/directory.rs
@@ -67,12 +67,12 @@
     Restored(Vec<ListedEndpoint>),
 }
 
-/// Time after the end of an outage for which entries that is_lapsed during it are kept.
+/// Time after the end of an outage for which entries that lapsed during it are kept.
 ///
 /// The platform guarantees that a live endpoint is listed again within about two seconds.
 pub const RELIST_GRACE: Duration = Duration::from_millis(2200);
 
-/// Time without a read of the list after which entries may have is_lapsed only because the store was unreachable.
+/// Time without a read of the list after which entries may have lapsed only because the store was unreachable.
 ///
 /// An endpoint's entry lapses after three missed heartbeats, about a second apart.
 pub const OUTAGE_THRESHOLD: Duration = Duration::from_millis(2500);
@@ -231,7 +231,7 @@
         has_changed
     }
 
-    /// Removes entries that is_lapsed during an outage and were not written again in time.
+    /// Removes entries that lapsed during an outage and were not written again in time.
     fn expire(&mut self, now: SystemTime) -> bool {
         if self.grace_until.is_none_or(|until| now < until) {
             return false;
@@ -252,7 +252,7 @@
         self.entries.values().map(|entry| &entry.endpoint).filter(|endpoint| !endpoint.is_leaving)
     }
 
-    /// The entries on the list, without is_lapsed entries that are kept for a time.
+    /// The entries on the list, without lapsed entries that are kept for a time.
     pub fn listed(&self, now: SystemTime) -> Vec<ListedEndpoint> {
         self.entries.values().filter(|entry| !entry.is_lapsed).map(|entry| entry.read(now)).collect()
     }
--- a/havengrade_core/src/published/relay.rs
+++ b/havengrade_core/src/published/relay.rs
@@ -140,10 +140,10 @@
     /// let now = confirmed + Duration::from_millis(1700);
     /// let alone = Freshness { confirmed, ..Freshness::default() };
     /// assert!(alone.must_read_store(9, now));
-    /// let told = Freshness { last_answer: Some(now), ..alone };
-    /// assert!(!told.must_read_store(0, now));
-    /// let away = Freshness { answer_age: Duration::from_secs(2), ..told };
-    /// assert!(away.must_read_store(0, now) && !away.must_read_store(9, now));
+    /// let answered = Freshness { last_answer: Some(now), ..alone };
+    /// assert!(!answered.must_read_store(0, now));
+    /// let unreachable = Freshness { answer_age: Duration::from_secs(2), ..answered };
+    /// assert!(unreachable.must_read_store(0, now) && !unreachable.must_read_store(9, now));
     /// ```
     pub fn must_read_store(&self, place: usize, now: SystemTime) -> bool {
         if !is_recent(self.last_answer, now) {
--- a/havengrade_core/src/published/state_transfer.rs
+++ b/havengrade_core/src/published/state_transfer.rs
@@ -17,7 +17,7 @@
     Serve,
     /// Redirect it to this VM, which has received the same state.
     Redirect(SocketAddr),
-    /// Let it wait: the link is in_progress, and no VM was served yet that it could be redirected to.
+    /// Let it wait: the link is busy, and no VM was served yet that it could be redirected to.
     Wait,
 }
 
