--- a/havengrade_core/src/cascade.rs
+++ b/havengrade_core/src/cascade.rs
@@ -6,7 +6,7 @@
     ids::{Permille, VersionId},
 };
 
-/// Number of ratings that a version's prior quality weighs as much as.
+/// Weight of a version's prior quality, as a number of ratings.
 pub const PRIOR_WEIGHT: u64 = 20;
 /// Minimum share of a version's answers that reach the target for it to be tried before a stronger one.
 ///
--- a/havengrade_core/src/claim.rs
+++ b/havengrade_core/src/claim.rs
@@ -38,7 +38,7 @@
     pub body_sha256: String,
     /// Endpoint that the holder will send to.
     pub endpoint: EndpointId,
-    /// When the claim was made.
+    /// Time of the claim.
     pub at: SystemTime,
 }
 
@@ -97,7 +97,7 @@
     pub endpoint: EndpointId,
     /// Digest of the request's body; `None` if the record's digest can't be parsed.
     pub body: Option<Digest>,
-    /// When the claim was made.
+    /// Time of the claim.
     pub at: SystemTime,
 }
 
@@ -127,7 +127,7 @@
 }
 
 impl KeyState {
-    /// Applies a claim.
+    /// Applies a claim, unless the key is already claimed or the attempt is voided.
     pub fn claim(&mut self, claim: &Claim) -> ApplyResult {
         if let Some(active) = &self.claim {
             if active.body != parse_digest(&claim.body_sha256) {
@@ -144,7 +144,7 @@
 
     /// Voids the attempts up to `up_to`, which then never run.
     ///
-    /// A claim in effect takes precedence, unless its is_own holder voids it. The holder knows that it has not
+    /// A claim in effect takes precedence, unless its own holder voids it. The holder knows that it has not
     /// sent the request and never will.
     pub fn void(&mut self, up_to: Attempt, holder: Incarnation, request_id: &str) -> ApplyResult {
         if let Some(active) = &self.claim {
--- a/havengrade_core/src/endpoint_selection.rs
+++ b/havengrade_core/src/endpoint_selection.rs
@@ -47,7 +47,7 @@
         !self.unavailable && self.ejected_until.is_none_or(|until| until <= now) && self.backoff_left(now).is_none()
     }
 
-    /// Returns the rest of the backoff that the endpoint requested, if any.
+    /// Returns the remaining backoff that the endpoint requested, if any.
     pub fn backoff_left(&self, now: SystemTime) -> Option<Duration> {
         let left = self.backoff_until?.duration_since(now).ok()?;
         (!left.is_zero()).then_some(left)
--- a/havengrade_core/src/retry_budget.rs
+++ b/havengrade_core/src/retry_budget.rs
@@ -1,6 +1,6 @@
 //! Retry budget: limits retries to a share of first tries, so that they can't amplify an overload.
 
-/// Hundredths of a retry in one retry.
+/// Hundredths per retry; the budget counts hundredths of retries.
 const HUNDREDTHS_PER_RETRY: u64 = 100;
 /// Default maximum of saved retries, which bounds a burst.
 const MAX_SAVED_RETRIES: u64 = 20;
--- a/havengrade_rpc/tests/decoders.rs
+++ b/havengrade_rpc/tests/decoders.rs
@@ -29,7 +29,12 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 2000, rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 2000,
+        rng_seed: RngSeed::Fixed(5),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
 
     #[test]
     fn any_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
