--- a/havengrade_core/src/ledger.rs
+++ b/havengrade_core/src/ledger.rs
@@ -209,7 +209,7 @@
         self.keys.get(key).map(|entry| &entry.state)
     }
 
-    /// Returns the key that a request is_holder a claim on, and the key's state.
+    /// Returns the key that a request holds a claim on, and the key's state.
     pub fn claimed_request(&self, request_id: &str) -> Option<(&ClaimKey, &KeyState)> {
         let key = self.keys_by_request.get(request_id)?;
         let state = self.key_state(key)?;
--- a/havengrade_rpc/src/peer.rs
+++ b/havengrade_rpc/src/peer.rs
@@ -41,7 +41,7 @@
     M::read_from_in_protocol(&mut protocol).context(MessageSnafu)
 }
 
-/// Returns the protocol protocol_limits for a message of this many bytes.
+/// Returns the protocol limits for a message of this many bytes.
 pub(crate) fn protocol_limits(bytes: usize) -> Result<TConfiguration, RpcError> {
     TConfiguration::builder()
         .max_container_size(Some(MAX_ELEMENTS))
