--- a/havengrade_core/src/config/change.rs
+++ b/havengrade_core/src/config/change.rs
@@ -134,7 +134,7 @@
     pub changes: Vec<ScopedChange>,
 }
 
-/// A record of the configuration stream.
+/// A record of the configuration log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "record")]
 pub enum ConfigRecord {
--- a/havengrade_core/src/config/replay.rs
+++ b/havengrade_core/src/config/replay.rs
@@ -12,7 +12,7 @@
     ids::{ChangeId, Offset},
 };
 
-/// Why a change had no effect.
+/// Reason why a change had no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VoidReason {
