--- a/havengrade_core/tests/published_bad_version.rs
+++ b/havengrade_core/tests/published_bad_version.rs
@@ -1,14 +1,11 @@
-//! A version that turns bad, before, in and after each stage of its roll-out, with faults that starve, hide or lose what
-//! VMs know of it.
+//! Versions that become bad before, during and after each phase of their roll-outs, with faults by which VMs miss or
+//! lose evidence.
 //!
-//! Seen: a bad version got thousands of requests more than five seconds after its fiftieth bad answer, on real processes.
-//!
-//! How it came about: a roll-out's end was taken by the time alone, from whatever the VMs that still ran had counted until
-//! then, and for good. Good answers of the trial outweighed the bad ones that came after; a start forgot what is usual; a
-//! version that had not been tried at all took over; after its success nobody looked.
-//!
-//! Cause: the absence of bad news was taken for good news. Proof: each column of the table below brings it about by itself, and
-//! so does the first row without any other fault.
+//! Guards against roll-outs that succeed without evidence: a bad version got thousands of requests more than five
+//! seconds after its fiftieth bad answer. Success depended on the time alone. Good answers of the trial outweighed
+//! later bad ones, a restart lost the baseline, a version that had got no requests went to full traffic, and nothing
+//! was evaluated after success. Each column of the table of faults and times below led to this by itself, and
+//! so did its first row, which has no other fault.
 #![allow(clippy::unwrap_used)]
 
 mod support {
@@ -20,19 +17,20 @@
 
 use havengrade_core::published::rollout::RolloutOutcome;
 use support::{
-    rollout_day::{Badness, Day, Fault, Played},
-    rollout_fleet::play,
+    rollout_day::{Badness, Fault, Scenario, SimulationResult},
+    rollout_fleet::simulate,
 };
 
-/// Moments at which a version turns bad, in milliseconds from an order of 16 s: before, in and after the trial, the take-over
-/// (about 14.9 s) and the end (15.2 s).
-const MOMENTS: [u64; 13] =
+/// Times from which a version is bad, in milliseconds from an order of 16 s: before, during and after the trial, the
+/// full-traffic phase (from about 14.9 s) and the final status (15.2 s).
+const BAD_FROM: [u64; 13] =
     [0, 3_000, 6_000, 9_000, 12_000, 13_000, 14_000, 14_600, 15_000, 15_300, 16_000, 17_000, 21_000];
 
-/// Ways of being bad.
-const WAYS: [Badness; 4] = [Badness::Errors(0.4), Badness::OneRoute(0.45), Badness::UnderLoad(0.4), Badness::Slow(0.5)];
+/// Faults of the version.
+const BADNESS: [Badness; 4] =
+    [Badness::Errors(0.4), Badness::OneRoute(0.45), Badness::UnderLoad(0.4), Badness::Slow(0.5)];
 
-/// Faults that starve, hide or lose what VMs know.
+/// Other faults, by which VMs miss or lose evidence.
 fn faults() -> Vec<(&'static str, Vec<Fault>)> {
     let all = |at| Fault::AllRestart { at };
     vec![
@@ -48,20 +46,20 @@
         ("restarts from the trial to the end", vec![Fault::Restarts { from: 12_000, gap: 600, count: 18 }]),
         ("all restarted", vec![all(9_000)]),
         ("all restarted three times", vec![all(6_000), all(10_000), all(14_000)]),
-        ("all restarted at the take-over", vec![all(17_050)]),
+        ("all restarted at full traffic", vec![all(17_050)]),
         ("all restarted after the end", vec![all(20_000)]),
         ("endpoints listed late", vec![Fault::Unlisted { until: 17_000 }]),
-        ("store away", vec![Fault::StoreAway { from: 3_000, until: 17_000 }]),
-        ("store away at the end", vec![Fault::StoreAway { from: 16_000, until: 24_000 }]),
+        ("store unreachable", vec![Fault::StoreAway { from: 3_000, until: 17_000 }]),
+        ("store unreachable at the end", vec![Fault::StoreAway { from: 16_000, until: 24_000 }]),
         ("reports lost", vec![Fault::ReportsLost { share: 0.8, from: 3_000, until: 40_000 }]),
         ("no reports", vec![Fault::ReportsLost { share: 1.0, from: 8_000, until: 14_000 }]),
     ]
 }
 
-/// Plays days on a few threads.
-fn play_all(days: &[(String, Day)]) -> Vec<(String, Played)> {
+/// Runs scenarios on a few threads.
+fn simulate_all(scenarios: &[(String, Scenario)]) -> Vec<(String, SimulationResult)> {
     let next = Mutex::new(0);
-    let played = Mutex::new(Vec::new());
+    let results = Mutex::new(Vec::new());
     thread::scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| {
@@ -71,101 +69,104 @@
                         *next += 1;
                         *next - 1
                     };
-                    let Some((name, day)) = days.get(index) else { return };
-                    let result = (name.clone(), play(day));
-                    played.lock().unwrap().push(result);
+                    let Some((name, scenario)) = scenarios.get(index) else { return };
+                    let result = (name.clone(), simulate(scenario));
+                    results.lock().unwrap().push(result);
                 }
             });
         }
     });
-    let mut played = played.into_inner().unwrap();
-    played.sort_by(|a, b| a.0.cmp(&b.0));
-    played
+    let mut results = results.into_inner().unwrap();
+    results.sort_by(|a, b| a.0.cmp(&b.0));
+    results
 }
 
-/// Plays days of a bad version; none may break the bounds.
-fn assert_bounds_kept(days: &[(String, Day)]) {
-    let broken: Vec<String> = play_all(days)
+/// Runs scenarios of a bad version, each of which must stay within the bounds.
+fn assert_within_bounds(scenarios: &[(String, Scenario)]) {
+    let exceeded: Vec<String> = simulate_all(scenarios)
         .into_iter()
-        .filter(|(_, played)| !played.keeps_bounds())
-        .map(|(name, played)| format!("{name}: {} late, {:.0} beyond the share", played.late, played.beyond_share))
+        .filter(|(_, result)| !result.is_within_bounds())
+        .map(|(name, result)| {
+            format!("{name}: {} late, {:.0} beyond the share", result.late_requests, result.excess_requests)
+        })
         .collect();
-    assert!(broken.is_empty(), "{} of {} days:\n{}", broken.len(), days.len(), broken.join("\n"));
+    assert!(exceeded.is_empty(), "{} of {} scenarios:\n{}", exceeded.len(), scenarios.len(), exceeded.join("\n"));
 }
 
 #[test]
 fn no_request_reaches_a_version_long_after_its_fiftieth_bad_answer() {
-    let mut days = Vec::new();
+    let mut scenarios = Vec::new();
     for (fault, faults) in faults() {
-        for badness in WAYS {
-            // Slow answers after the end can't be told from too much load: nothing else is left to compare with.
-            let moments = MOMENTS.iter().filter(|moment| !matches!(badness, Badness::Slow(_)) || **moment <= 9_000);
-            for moment in moments {
-                let name = format!("{badness:?} from {moment} ms, {fault}");
-                days.push((name, Day::new(*moment + 1, badness, *moment, &faults)));
+        for badness in BADNESS {
+            // After the end, slow answers can't be distinguished from overload, since no old version is left to compare
+            // with.
+            let times = BAD_FROM.iter().filter(|bad_from| !matches!(badness, Badness::Slow(_)) || **bad_from <= 9_000);
+            for bad_from in times {
+                let name = format!("{badness:?} from {bad_from} ms, {fault}");
+                scenarios.push((name, Scenario::new(*bad_from + 1, badness, *bad_from, &faults)));
             }
         }
     }
-    assert_bounds_kept(&days);
+    assert_within_bounds(&scenarios);
 }
 
-/// A large service, where only the few endpoints that are busy show that the version is bad.
+/// A large service, where only the few busy endpoints show that the version is bad.
 #[test]
 fn a_version_that_few_busy_endpoints_show_to_be_bad_is_stopped_in_time() {
-    let days: Vec<(String, Day)> = (0..4)
+    let scenarios: Vec<(String, Scenario)> = (0..4)
         .map(|seed| {
-            let day = Day::new(seed, Badness::UnderLoad(0.02), 0, &[]);
-            (format!("seed {seed}"), Day { endpoints: 140, rate: 480.0, ..day })
+            let scenario = Scenario::new(seed, Badness::UnderLoad(0.02), 0, &[]);
+            (format!("seed {seed}"), Scenario { endpoints: 140, rate: 480.0, ..scenario })
         })
         .collect();
-    assert_bounds_kept(&days);
+    assert_within_bounds(&scenarios);
 }
 
 #[test]
 fn a_good_version_succeeds_in_time() {
-    let days: Vec<(String, Day)> =
-        (0..40).map(|seed| (format!("seed {seed}"), Day::new(seed, Badness::None, 0, &[]))).collect();
-    let late: Vec<String> = play_all(&days)
+    let scenarios: Vec<(String, Scenario)> =
+        (0..40).map(|seed| (format!("seed {seed}"), Scenario::new(seed, Badness::None, 0, &[]))).collect();
+    let late: Vec<String> = simulate_all(&scenarios)
         .into_iter()
-        .filter(|(_, played)| {
-            let end = played.states.iter().find(|(_, outcome)| *outcome == RolloutOutcome::Succeeded);
+        .filter(|(_, result)| {
+            let end = result.outcomes.iter().find(|(_, outcome)| *outcome == RolloutOutcome::Succeeded);
             end.is_none_or(|(at, _)| *at > 17_700)
         })
-        .map(|(name, played)| format!("{name}: {:?}", played.states))
+        .map(|(name, result)| format!("{name}: {:?}", result.outcomes))
         .collect();
     assert!(late.len() <= 2, "{} of 40 (one in twenty may be rolled back):\n{}", late.len(), late.join("\n"));
 }
 
 #[test]
-fn a_good_version_stays_whatever_fails_beside_it_after_its_success() {
-    // All callers come back at once, and VMs that have just started don't know how busy endpoints are.
-    let crowd = vec![
+fn a_good_version_stays_whatever_else_fails_after_its_success() {
+    // All callers return at once, and VMs that have just started do not know the load of the endpoints.
+    let thundering_herd = vec![
         Fault::AllRestart { at: 20_000 },
         Fault::Burst { times: 5.0, from: 20_300, until: 25_000 },
         Fault::LoadUnknown { from: 20_300, until: 25_000 },
     ];
-    let beside: [(&str, Vec<Fault>); 7] = [
+    let other_faults: [(&str, Vec<Fault>); 7] = [
         ("grey endpoints", vec![Fault::Grey { share: 0.6, failing: 0.4, from: 20_000, until: 28_000 }]),
-        ("half of the endpoints silent", vec![Fault::Grey { share: 0.5, failing: 1.0, from: 20_000, until: 28_000 }]),
-        ("one VM's links", vec![Fault::BadLinks { vm: 3, failing: 0.9, from: 20_000, until: 28_000 }]),
-        ("a burst", vec![Fault::Burst { times: 3.0, from: 20_000, until: 28_000 }]),
+        ("half of the endpoints failing", vec![Fault::Grey { share: 0.5, failing: 1.0, from: 20_000, until: 28_000 }]),
+        ("one VM's network", vec![Fault::BadLinks { vm: 3, failing: 0.9, from: 20_000, until: 28_000 }]),
+        ("a load peak", vec![Fault::Burst { times: 3.0, from: 20_000, until: 28_000 }]),
         ("restarts", vec![Fault::Restarts { from: 19_000, gap: 600, count: 18 }]),
         ("all restarted", vec![Fault::AllRestart { at: 20_000 }]),
-        ("all restarted, and a crowd", crowd),
+        ("all restarted, and a thundering herd", thundering_herd),
     ];
-    let mut days = Vec::new();
-    for (name, faults) in beside {
+    let mut scenarios = Vec::new();
+    for (name, faults) in other_faults {
         for seed in 0..10 {
-            days.push((format!("{name}, seed {seed}"), Day::new(seed, Badness::None, 0, &faults)));
+            scenarios.push((format!("{name}, seed {seed}"), Scenario::new(seed, Badness::None, 0, &faults)));
         }
     }
-    let lost: Vec<String> = play_all(&days)
+    let lost: Vec<String> = simulate_all(&scenarios)
         .into_iter()
-        .filter(|(_, played)| {
-            let succeeded = played.states.iter().any(|(_, outcome)| *outcome == RolloutOutcome::Succeeded);
-            succeeded && (played.state() != Some(RolloutOutcome::Succeeded) || played.refused > 0)
+        .filter(|(_, result)| {
+            let succeeded = result.outcomes.iter().any(|(_, outcome)| *outcome == RolloutOutcome::Succeeded);
+            succeeded && (result.last_outcome() != Some(RolloutOutcome::Succeeded) || result.refused > 0)
         })
-        .map(|(name, played)| format!("{name}: {:?}, {} refused", played.states, played.refused))
+        .map(|(name, result)| format!("{name}: {:?}, {} refused", result.outcomes, result.refused))
         .collect();
-    assert!(lost.is_empty(), "{} of {} days:\n{}", lost.len(), days.len(), lost.join("\n"));
+    assert!(lost.is_empty(), "{} of {} scenarios:\n{}", lost.len(), scenarios.len(), lost.join("\n"));
 }
--- a/havengrade_core/tests/published_rollout.rs
+++ b/havengrade_core/tests/published_rollout.rs
@@ -1,4 +1,5 @@
-//! Decisions on roll-outs of a published service: which requests go to the new version, and when it is judged.
+//! Roll-outs of a published service: which requests go to the new version, when it is halted, and which statuses are
+//! written.
 #![allow(clippy::unwrap_used)]
 
 use std::time::{Duration, SystemTime};
@@ -37,7 +38,7 @@
     rollouts.allowed_versions("events", subject, session, BOUNDS, at(millis))
 }
 
-/// An answer of one kind, for a work of some size.
+/// An answer to a request of some kind, for an amount of work.
 struct Answer<'a> {
     kind: &'a str,
     version: &'a str,
@@ -47,13 +48,13 @@
 }
 
 impl Answer<'_> {
-    fn note(&self, rollouts: &mut Rollouts, now: u64) {
+    fn record(&self, rollouts: &mut Rollouts, now: u64) {
         let Self { kind, version, .. } = *self;
         let endpoint = "e1";
         if !self.failed {
             let (of, time) = (TimeKind::FirstByte { work: self.size }, Duration::from_secs_f64(self.millis / 1000.0));
-            let note = AttemptTime { kind, version, endpoint, load: Load::Light, of, time };
-            rollouts.record_time("events", note, OWN, at(now));
+            let attempt_time = AttemptTime { kind, version, endpoint, load: Load::Light, of, time };
+            rollouts.record_time("events", attempt_time, OWN, at(now));
         }
         let failure = self.failed.then_some(Failure::Error);
         rollouts.record_outcome("events", AttemptOutcome { kind, version, endpoint, failure }, OWN, at(now));
@@ -96,10 +97,10 @@
 fn a_version_that_fails_is_rolled_back_and_gets_nothing_more() {
     let mut rollouts = running();
     for _ in 0..40 {
-        answer("v1", false, 50).note(&mut rollouts, 5_000);
+        answer("v1", false, 50).record(&mut rollouts, 5_000);
     }
     for id in 0..16 {
-        answer("v2", id % 2 == 0, 50).note(&mut rollouts, 5_000);
+        answer("v2", id % 2 == 0, 50).record(&mut rollouts, 5_000);
     }
     assert_eq!(outcome(&mut rollouts, 6_000), RolloutOutcome::RolledBack);
     assert!((0..500).all(|id| !allowed(&rollouts, &format!("r{id}"), None, 6_000).includes("v2")));
@@ -109,10 +110,10 @@
 fn a_version_that_is_several_times_slower_is_rolled_back() {
     let mut rollouts = running();
     for _ in 0..60 {
-        answer("v1", false, 50).note(&mut rollouts, 5_000);
+        answer("v1", false, 50).record(&mut rollouts, 5_000);
     }
     for id in 0..16 {
-        answer("v2", false, if id % 2 == 0 { 400 } else { 50 }).note(&mut rollouts, 5_000);
+        answer("v2", false, if id % 2 == 0 { 400 } else { 50 }).record(&mut rollouts, 5_000);
     }
     assert_eq!(outcome(&mut rollouts, 6_000), RolloutOutcome::RolledBack);
 }
@@ -121,15 +122,15 @@
 fn a_good_version_takes_over_before_the_deadline() {
     let mut rollouts = running();
     for _ in 0..200 {
-        answer("v1", false, 50).note(&mut rollouts, 5_000);
-        answer("v2", false, 60).note(&mut rollouts, 5_000);
+        answer("v1", false, 50).record(&mut rollouts, 5_000);
+        answer("v2", false, 60).record(&mut rollouts, 5_000);
     }
     assert_eq!(outcome(&mut rollouts, 6_000), RolloutOutcome::Running);
     assert!((0..500).all(|id| allowed(&rollouts, &format!("r{id}"), None, 18_800).includes("v2")));
     for millis in (18_700..19_200).step_by(100) {
         assert_eq!(outcome(&mut rollouts, millis), RolloutOutcome::Running);
         for _ in 0..4 {
-            answer("v2", false, 60).note(&mut rollouts, millis);
+            answer("v2", false, 60).record(&mut rollouts, millis);
         }
     }
     assert_eq!(outcome(&mut rollouts, 19_200), RolloutOutcome::Succeeded);
@@ -139,14 +140,14 @@
 fn a_version_has_not_succeeded_before_it_was_seen_to_serve_all_requests() {
     let mut rollouts = running();
     for _ in 0..200 {
-        answer("v1", false, 50).note(&mut rollouts, 5_000);
-        answer("v2", false, 60).note(&mut rollouts, 5_000);
+        answer("v1", false, 50).record(&mut rollouts, 5_000);
+        answer("v2", false, 60).record(&mut rollouts, 5_000);
     }
     for millis in (18_700..30_000).step_by(100) {
         assert_eq!(outcome(&mut rollouts, millis), RolloutOutcome::Running);
     }
     for _ in 0..12 {
-        answer("v2", false, 60).note(&mut rollouts, 30_000);
+        answer("v2", false, 60).record(&mut rollouts, 30_000);
     }
     assert_eq!(outcome(&mut rollouts, 30_100), RolloutOutcome::Succeeded);
 }
@@ -155,10 +156,10 @@
 fn a_vm_that_starts_during_a_roll_out_takes_over_with_the_others() {
     let mut rollouts = Rollouts::default();
     rollouts.add_order(order("v2"), at(9_000));
-    let told = |version: &str, outcome| RolloutStatus { service: "events".into(), version: version.into(), outcome };
-    let running = told("v2", RolloutOutcome::Running);
-    assert!(!rollouts.merge_start_time(&told("v3", RolloutOutcome::Running), at(0)));
-    assert!(!rollouts.merge_start_time(&told("v2", RolloutOutcome::RolledBack), at(0)), "of an earlier order");
+    let status = |version: &str, outcome| RolloutStatus { service: "events".into(), version: version.into(), outcome };
+    let running = status("v2", RolloutOutcome::Running);
+    assert!(!rollouts.merge_start_time(&status("v3", RolloutOutcome::Running), at(0)));
+    assert!(!rollouts.merge_start_time(&status("v2", RolloutOutcome::RolledBack), at(0)), "of an earlier order");
     assert_eq!(outcome(&mut rollouts, 19_200), RolloutOutcome::Running, "another order says nothing");
     assert!(rollouts.merge_start_time(&running, at(0)));
     assert!(!rollouts.merge_start_time(&running, at(5_000)));
@@ -170,27 +171,27 @@
 }
 
 #[test]
-fn other_vms_evidence_counts_once_however_often_it_is_told() {
+fn other_vms_evidence_counts_once_however_often_it_is_reported() {
     let mut rollouts = running();
-    let seen = |version: &str, ended, failed| RouteEvidence {
+    let evidence = |version: &str, ended, failed| RouteEvidence {
         service: "events".into(),
         version: version.into(),
         route: "tags".into(),
         seen: AttemptStats { ended, failed, ..AttemptStats::default() },
     };
     for _ in 0..50 {
-        rollouts.merge_evidence(8, &seen("", 100, 0));
-        rollouts.merge_evidence(8, &seen("v2", 10, 1));
+        rollouts.merge_evidence(8, &evidence("", 100, 0));
+        rollouts.merge_evidence(8, &evidence("v2", 10, 1));
     }
     assert_eq!(outcome(&mut rollouts, 6_000), RolloutOutcome::Running);
     for writer in 10..18 {
-        rollouts.merge_evidence(writer, &seen("v2", 4, 2));
+        rollouts.merge_evidence(writer, &evidence("v2", 4, 2));
     }
     assert_eq!(outcome(&mut rollouts, 6_000), RolloutOutcome::RolledBack);
 }
 
 #[test]
-fn what_is_written_for_an_order_stands() {
+fn a_terminal_status_is_final() {
     let mut rollouts = running();
     let status = |outcome| RolloutStatus { service: "events".into(), version: "v2".into(), outcome };
     rollouts.record_status(status(RolloutOutcome::RolledBack));
@@ -208,11 +209,11 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         for _ in 0..400 {
             let version = if rng.random_bool(0.1) { "v2" } else { "v1" };
-            answer(version, rng.random_bool(0.14), 50).note(&mut rollouts, 5_000);
+            answer(version, rng.random_bool(0.14), 50).record(&mut rollouts, 5_000);
         }
         mistaken += u32::from(outcome(&mut rollouts, 6_000) != RolloutOutcome::Running);
     }
-    assert!(mistaken <= 4, "{mistaken} of 200 at the end; one in twenty is accepted over all looks");
+    assert!(mistaken <= 4, "{mistaken} of 200 at the end; one in twenty is accepted over all evaluations");
 }
 
 #[test]
@@ -225,23 +226,23 @@
             let version = if rng.random_bool(0.1) { "v2" } else { "v1" };
             let failed = rng.random_bool(if version == "v2" { 0.45 } else { 0.14 });
             bad += u32::from(failed && version == "v2");
-            answer(version, failed, 50).note(&mut rollouts, 5_000);
+            answer(version, failed, 50).record(&mut rollouts, 5_000);
             assert!(bad < 50, "seed {seed}");
         }
     }
 }
 
-/// Notes answers of an old version, of which many are slow since a part of the prompt was not cached, and of a
-/// new one that fails with a chance; tells how many the new one gave until it was halted.
-fn answers_until_halted(rollouts: &mut Rollouts, chance: f64, most: u32, seed: u64) -> Option<u32> {
+/// Records answers of an old version, of which many are slow since the prompt prefix was not cached, and of a new
+/// version that fails with a probability. Returns the number of the new version's answers until it was halted.
+fn answers_until_halted(rollouts: &mut Rollouts, failure_rate: f64, max_answers: u32, seed: u64) -> Option<u32> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut new = 0;
-    while new < most {
+    while new < max_answers {
         let version = if rng.random_bool(0.08) { "v2" } else { "v1" };
         let millis = if rng.random_bool(0.3) { rng.random_range(400..900) } else { rng.random_range(60..160) };
-        let failed = rng.random_bool(if version == "v2" { chance } else { 0.01 });
+        let failed = rng.random_bool(if version == "v2" { failure_rate } else { 0.01 });
         let kind = ["a/small", "a/large", "b/small", "b/large"][rng.random_range(0..4)];
-        Answer { kind, ..answer(version, failed, millis) }.note(rollouts, 5_000);
+        Answer { kind, ..answer(version, failed, millis) }.record(rollouts, 5_000);
         new += u32::from(version == "v2");
         if outcome(rollouts, 6_000) == RolloutOutcome::RolledBack {
             return Some(new);
@@ -286,8 +287,8 @@
         here.begin_session_request(session, "v1", at(4_000), at(4_000));
     }
     for millis in (6_000..6_900).step_by(100) {
-        for kept in here.next_session_report(BOUNDS, at(millis)) {
-            there.merge_session(kept, at(millis + 2));
+        for affinity in here.next_session_report(BOUNDS, at(millis)) {
+            there.merge_session(affinity, at(millis + 2));
         }
     }
     assert!(candidates.iter().all(|id| allowed(&there, "r", Some(id), 7_000) == AllowedVersions::Only("v1".into())));
@@ -304,7 +305,7 @@
 }
 
 #[test]
-fn a_slow_version_is_found_among_works_of_many_sizes() {
+fn a_slow_version_is_found_among_requests_of_many_sizes() {
     for seed in 0..100u64 {
         let mut rollouts = running();
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -316,14 +317,14 @@
             let millis = size / 60.0 * rng.random_range(0.5..2.0) * if is_slow { 8.0 } else { 1.0 };
             bad += u32::from(is_slow);
             let version = if is_new { "v2" } else { "v1" };
-            Answer { millis, size, ..answer(version, false, 0) }.note(&mut rollouts, 5_000);
+            Answer { millis, size, ..answer(version, false, 0) }.record(&mut rollouts, 5_000);
             assert!(bad < 50, "seed {seed}");
         }
     }
 }
 
 #[test]
-fn what_other_vms_say_does_not_undo_the_end_of_a_roll_out() {
+fn a_reported_status_does_not_replace_a_terminal_one() {
     let mut rollouts = running();
     let status = |version: &str, outcome| RolloutStatus { service: "events".into(), version: version.into(), outcome };
     assert!(rollouts.merge_status(status("v2", RolloutOutcome::Running)));
@@ -337,8 +338,9 @@
 fn a_session_leaves_a_version_that_was_rolled_back_also_for_a_later_order() {
     let mut rollouts = running();
     rollouts.begin_session_request("s", "v2", at(4_000), at(4_000));
-    let back = RolloutStatus { service: "events".into(), version: "v2".into(), outcome: RolloutOutcome::RolledBack };
-    rollouts.record_status(back);
+    let rolled_back =
+        RolloutStatus { service: "events".into(), version: "v2".into(), outcome: RolloutOutcome::RolledBack };
+    rollouts.record_status(rolled_back);
     assert_eq!(allowed(&rollouts, "r", Some("s"), 4_500), AllowedVersions::Not("v2".into()));
     assert!(rollouts.add_order(order("v3"), at(5_000)));
     assert_eq!(allowed(&rollouts, "r", Some("s"), 5_500), AllowedVersions::Not("v3".into()));
@@ -347,7 +349,7 @@
 }
 
 #[test]
-fn a_pause_of_a_session_counts_from_the_end_of_its_last_request() {
+fn the_idle_time_of_a_session_counts_from_the_end_of_its_last_request() {
     let mut rollouts = running();
     rollouts.begin_session_request("s", "v1", at(4_000), at(4_000));
     rollouts.extend_session("s", "v1", at(8_000));
@@ -356,16 +358,18 @@
     assert_eq!(rollouts.session_time_left("s", BOUNDS, at(13_500)), None);
 }
 
-/// Seen: requests of sessions ran on another version 4.99 s after the last one, where five end a session. Cause: callers were told to come back in the moment in which the
-/// session ends by the count of the VM, which had passed on the end of the answer before its caller had it.
+/// Guards against sessions that move just before their idle timeout: with a timeout of 5 s, requests ran on another
+/// version 4.99 s after the last one. Callers were told to retry at the end of the session by the VM's clock, which
+/// starts the idle time before the caller has received the end of the answer.
 #[test]
-fn a_caller_is_told_to_come_back_when_its_session_has_surely_ended() {
+fn the_retry_delay_exceeds_the_time_until_the_session_ends() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let left = Duration::from_secs(2);
     assert!(retry_delay(RetryReason::SessionVersionGone { left }, &mut rng) >= left + Duration::from_millis(50));
 }
 
-/// Seen: a caller who came back when his session had ended was refused once more. Cause: the end of the request that had been refused counted as the end of one that was served.
+/// Guards against a caller being refused again after its session has ended: the end of the refused request counted as
+/// the end of a served one.
 #[test]
 fn a_refused_request_does_not_prolong_its_session() {
     let mut rollouts = running();
--- a/havengrade_core/tests/published_two_rollouts.rs
+++ b/havengrade_core/tests/published_two_rollouts.rs
@@ -1,4 +1,4 @@
-//! Two roll-outs of a service, the second ordered right after the first one's end: sessions keep their version.
+//! Session affinity during two roll-outs of a service, of which the second is ordered right after the end of the first.
 #![allow(clippy::unwrap_used)]
 
 use std::{
@@ -10,22 +10,23 @@
 
 const BOUNDS: RolloutBounds = RolloutBounds { max_share: 0.15, session_idle_timeout: Duration::from_secs(5) };
 const DURATION: Duration = Duration::from_secs(14);
-/// When the orders are given, in milliseconds: the second one 0.5 s after the first one's deadline.
+/// Times of the orders in milliseconds, with the old and the new version. The second order follows 0.5 s after the
+/// first one's deadline.
 const ORDERS: [(u64, &str, &str); 2] = [(2_000, "v1", "v2"), (16_500, "v2", "v3")];
 const SESSIONS: u64 = 400;
-/// Time between two requests of a session, well below the pause after which it ends.
-const PERIOD: u64 = 3_000;
-/// Requests that may run on another version than the one before in their session.
-const MOST_MOVED: usize = 3;
+/// Time between two requests of a session, well below the idle timeout.
+const REQUEST_INTERVAL: u64 = 3_000;
+/// Number of requests that may run on another version than the one before in their session.
+const MAX_MOVED: usize = 3;
 
 fn at(millis: u64) -> SystemTime {
     SystemTime::UNIX_EPOCH + Duration::from_millis(millis)
 }
 
-/// The version that serves a request, and whether its session had to keep another one.
+/// The version that serves a request, and whether the request should have kept to the version before.
 fn serve(rollouts: &Rollouts, session: &str, before: Option<&String>, now: u64) -> (String, bool) {
-    let running = ORDERS.iter().rev().find(|(ordered, _, _)| *ordered <= now);
-    let Some((ordered, old, new)) = running else { return ("v1".into(), false) };
+    let newest = ORDERS.iter().rev().find(|(ordered, _, _)| *ordered <= now);
+    let Some((ordered, old, new)) = newest else { return ("v1".into(), false) };
     let version = match rollouts.allowed_versions("models", session, Some(session), BOUNDS, at(now)) {
         AllowedVersions::Only(version) => version,
         AllowedVersions::Any | AllowedVersions::Not(_) => (*old).to_owned(),
@@ -46,11 +47,11 @@
             let order = RolloutOrder { service: "models".into(), version: (*new).to_owned(), duration: DURATION };
             assert!(rollouts.add_order(order, at(*ordered)));
         }
-        for verdict in rollouts.status_updates(BOUNDS, at(now)) {
-            assert_ne!(verdict.status.outcome, RolloutOutcome::RolledBack);
-            rollouts.record_status(verdict.status);
+        for update in rollouts.status_updates(BOUNDS, at(now)) {
+            assert_ne!(update.status.outcome, RolloutOutcome::RolledBack);
+            rollouts.record_status(update.status);
         }
-        for id in (0..SESSIONS).filter(|id| (now + id * 10) % PERIOD == 0) {
+        for id in (0..SESSIONS).filter(|id| (now + id * 10) % REQUEST_INTERVAL == 0) {
             let session = format!("s{id}");
             let (version, is_moved) = serve(&rollouts, &session, last.get(&session), now);
             moved += usize::from(is_moved);
@@ -58,13 +59,11 @@
             last.insert(session, version);
         }
     }
-    assert!(moved <= MOST_MOVED, "{moved} requests ran on another version than the one before in their session");
+    assert!(moved <= MAX_MOVED, "{moved} requests ran on another version than the one before in their session");
 }
 
-/// Seen: a session's request ran on another version than the one before it, after a second order had followed the first one's end by half a
-/// second. How it came about: the session went on at another VM, which took it for a new one. Cause: VMs tell each other of sessions that
-/// keep to an old version only while an order runs, and not to which version. Proof: with one VM the test above passes; with two, that
-/// tell each other all they know five times a second, sessions move.
+/// Guards against sessions that move when they continue at another VM after the second order: the VM took them for new
+/// sessions, since VMs reported sessions only while a roll-out was running, and without their versions.
 #[test]
 fn sessions_keep_their_version_through_two_roll_outs_also_at_another_vm() {
     let mut vms = [Rollouts::default(), Rollouts::default()];
@@ -78,38 +77,38 @@
             }
         }
         let status_updates = vms[0].status_updates(BOUNDS, at(now));
-        for verdict in status_updates {
+        for update in status_updates {
             for rollouts in &mut vms {
-                rollouts.record_status(verdict.status.clone());
+                rollouts.record_status(update.status.clone());
             }
         }
         if now % 200 == 0 {
-            let news: Vec<_> =
+            let reports: Vec<_> =
                 (0..).zip(&mut vms).map(|(vm, rollouts)| rollouts.next_report(BOUNDS, vm, at(now))).collect();
-            for (vm, news) in (0..).zip(news) {
-                vms[1 - vm as usize].merge_report(vm, news, at(now));
+            for (vm, report) in (0..).zip(reports) {
+                vms[1 - vm as usize].merge_report(vm, report, at(now));
             }
         }
-        for id in (0..SESSIONS).filter(|id| (now + id * 10) % PERIOD == 0) {
+        for id in (0..SESSIONS).filter(|id| (now + id * 10) % REQUEST_INTERVAL == 0) {
             let session = format!("s{id}");
-            let rollouts = &mut vms[((now / PERIOD + id) % 2) as usize];
+            let rollouts = &mut vms[((now / REQUEST_INTERVAL + id) % 2) as usize];
             let (version, is_moved) = serve(rollouts, &session, last.get(&session), now);
             moved += usize::from(is_moved);
             rollouts.begin_session_request(&session, &version, at(now), at(now));
             last.insert(session, version);
         }
     }
-    assert!(moved <= MOST_MOVED, "{moved} requests ran on another version than the one before in their session");
+    assert!(moved <= MAX_MOVED, "{moved} requests ran on another version than the one before in their session");
 }
 
-/// Seen: on every seed that was tried of a day with two orders and 84 VMs, 66 to 172 requests of sessions on another version than the one before. How it
-/// comes about: a session that `v1` served last goes on right after the second order at a VM that takes it for a new one, and goes to `v2`. Cause: a report
-/// names 48 sessions and reaches 23 VMs, while thousands of sessions are between two requests. Proof: the VMs' own lines at the moved requests name no
-/// known version; with two VMs, which hear of all sessions, the test above passes.
+/// Guards against sessions that move in a large fleet. Right after the second order, sessions that `v1` served last
+/// continue at VMs that take them for new ones and assign them to `v2`: a report carries 48 sessions and reaches 23
+/// VMs, while thousands of sessions are between two requests. In simulated days with 84 VMs, 66 to 172 requests moved.
+/// With two VMs, which receive the reports of all sessions, the test above passes.
 #[test]
 fn sessions_keep_their_version_through_two_roll_outs_in_a_fleet_of_84_vms() {
     const VMS: u64 = 84;
-    const HEARERS: u64 = 23;
+    const REPORT_TARGETS: u64 = 23;
     let mut vms: Vec<Rollouts> = (0..VMS).map(|_| Rollouts::default()).collect();
     let mut last: HashMap<String, String> = HashMap::new();
     let mut moved = 0;
@@ -121,37 +120,37 @@
             }
         }
         if now % 200 == 0 {
-            for verdict in vms[0].status_updates(BOUNDS, at(now)) {
+            for update in vms[0].status_updates(BOUNDS, at(now)) {
                 for rollouts in &mut vms {
-                    rollouts.record_status(verdict.status.clone());
+                    rollouts.record_status(update.status.clone());
                 }
             }
-            let news: Vec<_> =
+            let reports: Vec<_> =
                 (0..).zip(&mut vms).map(|(vm, rollouts)| rollouts.next_report(BOUNDS, vm, at(now))).collect();
-            for (vm, news) in (0..).zip(news) {
-                for step in 0..HEARERS {
-                    // Prime to the number of VMs, so that each report goes to others.
-                    let to = (vm + 1 + (now / 200 * HEARERS + step) * 5) % VMS;
+            for (vm, report) in (0..).zip(reports) {
+                for step in 0..REPORT_TARGETS {
+                    // A step that is coprime to the number of VMs, so that successive reports go to different VMs.
+                    let to = (vm + 1 + (now / 200 * REPORT_TARGETS + step) * 5) % VMS;
                     if to != vm {
-                        vms[to as usize].merge_report(vm, news.clone(), at(now));
+                        vms[to as usize].merge_report(vm, report.clone(), at(now));
                     }
                 }
             }
         }
-        for id in (0..10 * SESSIONS).filter(|id| (now + id * 10) % PERIOD == 0) {
+        for id in (0..10 * SESSIONS).filter(|id| (now + id * 10) % REQUEST_INTERVAL == 0) {
             let session = format!("s{id}");
-            let rollouts = &mut vms[((now / PERIOD * 31 + id) % VMS) as usize];
+            let rollouts = &mut vms[((now / REQUEST_INTERVAL * 31 + id) % VMS) as usize];
             let (version, is_moved) = serve(rollouts, &session, last.get(&session), now);
             moved += usize::from(is_moved);
             rollouts.begin_session_request(&session, &version, at(now), at(now));
             last.insert(session, version);
         }
     }
-    assert!(moved <= MOST_MOVED, "{moved} requests ran on another version than the one before in their session");
+    assert!(moved <= MAX_MOVED, "{moved} requests ran on another version than the one before in their session");
 }
 
-/// Seen: a session whose request at one VM took longer than the session's pause went on with another version at another VM. Cause: its pause counted from the begin of
-/// the request until that ended, so that nobody was told of it.
+/// Guards against sessions that move while a request takes longer than the idle timeout: the idle time counted from the
+/// start of the request until its end, so that no VM reported the session.
 #[test]
 fn a_session_is_known_to_other_vms_while_its_request_is_in_progress() {
     let mut vms = [Rollouts::default(), Rollouts::default()];
@@ -160,10 +159,10 @@
         assert!(rollouts.add_order(order, at(2_000)));
     }
     let [here, there] = &mut vms;
-    let takes_new = |id: &String| {
+    let is_trial_session = |id: &String| {
         here.allowed_versions("models", id, Some(id), BOUNDS, at(5_000)) == AllowedVersions::Only("v2".into())
     };
-    let session = (0..4000).map(|id| format!("s{id}")).find(takes_new).unwrap();
+    let session = (0..4000).map(|id| format!("s{id}")).find(is_trial_session).unwrap();
     here.begin_session_request(&session, "v1", at(20_000), at(3_000));
     there.merge_report(1, here.next_report(BOUNDS, 1, at(8_900)), at(8_901));
     let allowed =
@@ -171,31 +170,34 @@
     assert_eq!(allowed(there, 8_950), AllowedVersions::Only("v1".into()));
     here.mark_session_idle(&session, at(9_000));
     assert_eq!(allowed(here, 13_900), AllowedVersions::Only("v1".into()));
-    assert_eq!(allowed(here, 14_100), AllowedVersions::Only("v2".into()), "its pause is over");
+    assert_eq!(allowed(here, 14_100), AllowedVersions::Only("v2".into()), "idle timeout");
 }
 
-/// What a VM tells on comes back to it over others; each word has to end, however long the reports are under way.
+/// A relayed entry returns to its VM by way of others; relaying must end, whatever the delay of the reports.
 #[test]
-fn a_word_on_a_session_does_not_go_round_for_ever() {
+fn reports_of_a_session_are_not_relayed_forever() {
     let mut vms = [Rollouts::default(), Rollouts::default(), Rollouts::default()];
     for rollouts in &mut vms {
         let order = RolloutOrder { service: "models".into(), version: "v2".into(), duration: DURATION };
         assert!(rollouts.add_order(order, at(2_000)));
     }
-    let takes_new = |id: &String| {
+    let is_trial_session = |id: &String| {
         vms[0].allowed_versions("models", id, Some(id), BOUNDS, at(5_000)) == AllowedVersions::Only("v2".into())
     };
-    let session = (0..4000).map(|id| format!("s{id}")).find(takes_new).unwrap();
+    let session = (0..4000).map(|id| format!("s{id}")).find(is_trial_session).unwrap();
     vms[0].begin_session_request(&session, "v1", at(3_000), at(3_000));
-    let mut told = 0;
+    let mut entries = 0;
     for now in (3_200..7_800).step_by(200) {
         for from in 0..3 {
-            let news = vms[from].next_report(BOUNDS, from as u64, at(now));
-            told += news.sessions.len();
+            let report = vms[from].next_report(BOUNDS, from as u64, at(now));
+            entries += report.sessions.len();
             for to in (0..3).filter(|to| *to != from) {
-                vms[to].merge_report(from as u64, news.clone(), at(now + 4));
+                vms[to].merge_report(from as u64, report.clone(), at(now + 4));
             }
         }
     }
-    assert!(told <= 6, "told {told} times: three by its VM, and once by each that hears of it, its own included");
+    assert!(
+        entries <= 6,
+        "{entries} entries: three by its VM, and one relayed by each VM that receives one, its own included"
+    );
 }
--- a/havengrade_core/tests/support/rollout_day.rs
+++ b/havengrade_core/tests/support/rollout_day.rs
@@ -1,66 +1,66 @@
-//! A day of a roll-out to play, and what became of it.
+//! Scenarios of the roll-out simulation, and their results.
 
 use havengrade_core::published::rollout::RolloutOutcome;
 
-/// How a version is bad.
+/// The fault of the new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Badness {
-    /// It is good.
+    /// No fault.
     None,
-    /// It fails a share of its requests.
+    /// Fails a share of its requests.
     Errors(f64),
-    /// A share of its answers takes eight times as long.
+    /// Takes eight times as long for a share of its answers.
     Slow(f64),
-    /// It fails a share of the requests of one route.
+    /// Fails a share of the requests of one route.
     OneRoute(f64),
-    /// It fails a share of its requests while it has more than half of them.
+    /// Fails a share of its requests while it gets more than half of all requests.
     UnderLoad(f64),
 }
 
-/// What goes wrong beside.
+/// A fault that does not come from the new version. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Fault {
-    /// VMs are restarted one after the other, from a time on, with a pause between, in milliseconds.
+    /// `count` restarts, of one VM after the other, at intervals of `gap`.
     Restarts { from: u64, gap: u64, count: u64 },
-    /// All VMs are restarted at once.
+    /// A simultaneous restart of all VMs.
     AllRestart { at: u64 },
-    /// Endpoints of the new version are not listed until then.
+    /// The endpoints of the new version are missing from the endpoint list until then.
     Unlisted { until: u64 },
-    /// The store can't be reached.
+    /// The store is unreachable.
     StoreAway { from: u64, until: u64 },
     /// A share of the reports between VMs is lost.
     ReportsLost { share: f64, from: u64, until: u64 },
-    /// A share of the endpoints of all versions fails a share of its requests.
+    /// A share of the endpoints of all versions fails a share of the requests.
     Grey { share: f64, failing: f64, from: u64, until: u64 },
-    /// One VM's requests fail on the way, whatever the endpoint.
+    /// A share of one VM's requests is lost on the network, to any endpoint.
     BadLinks { vm: usize, failing: f64, from: u64, until: u64 },
-    /// Callers come so many times as often, and answers take as many times as long.
+    /// The request rate and the response times are multiplied by `times`.
     Burst { times: f64, from: u64, until: u64 },
-    /// VMs take all endpoints for idle, as after a start.
+    /// VMs do not know the load of endpoints and count all as lightly loaded, as after a start.
     LoadUnknown { from: u64, until: u64 },
 }
 
-/// A day to play.
+/// A scenario to simulate.
 #[derive(Clone, Debug)]
-pub(crate) struct Day {
+pub(crate) struct Scenario {
     pub(crate) seed: u64,
     pub(crate) vms: usize,
-    /// Endpoints of each version.
+    /// Number of endpoints of each version.
     pub(crate) endpoints: usize,
-    /// Requests in a second.
+    /// Requests per second.
     pub(crate) rate: f64,
-    /// Time from the order until it should be done, in milliseconds.
+    /// Time from the order to its deadline, in milliseconds.
     pub(crate) duration: u64,
     pub(crate) badness: Badness,
-    /// When the version turns bad, in milliseconds from the order.
-    pub(crate) turns: u64,
+    /// When the fault of the version begins, in milliseconds from the order.
+    pub(crate) bad_from: u64,
     pub(crate) faults: Vec<Fault>,
-    /// How long the day is, in milliseconds.
+    /// Length of the simulation, in milliseconds.
     pub(crate) length: u64,
 }
 
-impl Day {
-    pub(crate) fn new(seed: u64, badness: Badness, turns: u64, faults: &[Fault]) -> Self {
+impl Scenario {
+    pub(crate) fn new(seed: u64, badness: Badness, bad_from: u64, faults: &[Fault]) -> Self {
         Self {
             seed,
             vms: 9,
@@ -68,37 +68,37 @@
             rate: 96.0,
             duration: 16_000,
             badness,
-            turns,
+            bad_from,
             faults: faults.to_vec(),
             length: 34_000,
         }
     }
 }
 
-/// What became of a day.
+/// The result of a simulation.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Played {
-    /// When the new version gave its fiftieth bad answer, in milliseconds.
-    pub(crate) fiftieth: Option<u64>,
-    /// Requests that it got later than is allowed after that.
-    pub(crate) late: usize,
-    /// Requests that it got until the deadline, beyond the share that is allowed; negative where there is room.
-    pub(crate) beyond_share: f64,
-    /// The states that were written, with their times.
-    pub(crate) states: Vec<(u64, RolloutOutcome)>,
-    /// Requests for which no version was left.
+pub(crate) struct SimulationResult {
+    /// Time of the fiftieth bad answer of the new version, in milliseconds.
+    pub(crate) fiftieth_bad_at: Option<u64>,
+    /// Requests to the new version after the time that is allowed from its fiftieth bad answer.
+    pub(crate) late_requests: usize,
+    /// Requests to the new version until the deadline, minus the allowed number.
+    pub(crate) excess_requests: f64,
+    /// The written outcomes, with their times in milliseconds.
+    pub(crate) outcomes: Vec<(u64, RolloutOutcome)>,
+    /// Requests that were refused, since no endpoint of an allowed version was listed.
     pub(crate) refused: usize,
-    /// Requests that the new version got.
-    pub(crate) new: usize,
+    /// All requests to the new version.
+    pub(crate) new_requests: usize,
 }
 
-impl Played {
-    pub(crate) fn state(&self) -> Option<RolloutOutcome> {
-        self.states.last().map(|(_, outcome)| *outcome)
+impl SimulationResult {
+    pub(crate) fn last_outcome(&self) -> Option<RolloutOutcome> {
+        self.outcomes.last().map(|(_, outcome)| *outcome)
     }
 
-    /// Whether the bounds on a bad version were kept.
-    pub(crate) fn keeps_bounds(&self) -> bool {
-        self.late == 0 && self.beyond_share <= 0.0
+    /// Whether the bounds on the requests of a bad version were kept.
+    pub(crate) fn is_within_bounds(&self) -> bool {
+        self.late_requests == 0 && self.excess_requests <= 0.0
     }
 }
