--- a/havengrade_core/src/published/rollout.rs
+++ b/havengrade_core/src/published/rollout.rs
@@ -137,7 +137,7 @@
 
     /// Merges a status that another VM reports as written. Returns whether it changes the known one.
     ///
-    /// VMs learn of statuses at different times, so that a report of a rollout roll-out does not replace a known
+    /// VMs learn of statuses at different times, so that a report of a running roll-out does not replace a known
     /// terminal status, and statuses of other orders are ignored.
     pub fn merge_status(&mut self, status: RolloutStatus) -> bool {
         let ordered = self.by_service.get(&status.service).map(|rollout| &rollout.order.version);
--- a/havengrade_core/tests/support/rollout_fleet.rs
+++ b/havengrade_core/tests/support/rollout_fleet.rs
@@ -37,9 +37,9 @@
 /// Time that a process takes to restart, in milliseconds.
 const RESTART_TIME: u64 = 300;
 /// Time until the endpoint list shows that endpoints were added or removed, in milliseconds.
-const LIST_DELAY: u64 = 600;
+const LIST_LAG: u64 = 600;
 /// Time for which endpoints of a version that was rolled back remain, in milliseconds.
-const DRAIN_TIME: u64 = 3_000;
+const DRAIN: u64 = 3_000;
 /// Number of bad answers after which a version must get no more requests.
 const MAX_BAD_ANSWERS: usize = 50;
 /// Time that is allowed from that answer to the last request, in milliseconds.
@@ -137,8 +137,8 @@
             let incarnation = fleet.new_incarnation();
             fleet.vms.push(Vm { rollouts: Rollouts::default(), incarnation, up_at: 0, pending_write: None });
         }
-        let listed_at = fleet.unlisted_until().unwrap_or(ORDERED_AT + LIST_DELAY);
-        fleet.schedule(listed_at, Event::Listed { version: NEW, is_listed: true });
+        let listed_at = fleet.unlisted_until().unwrap_or(ORDERED_AT + LIST_LAG);
+        fleet.enqueue(listed_at, Event::Listed { version: NEW, is_listed: true });
         fleet
     }
 
@@ -147,7 +147,7 @@
         self.next_incarnation
     }
 
-    fn schedule(&mut self, when: u64, event: Event) {
+    fn enqueue(&mut self, when: u64, event: Event) {
         self.next_event += 1;
         self.events.insert((when, self.next_event), event);
     }
@@ -304,7 +304,7 @@
         let answer = self.answer(vm, version, load_factor, now);
         let done = now + (answer.first_byte.as_millis() as u64).max(STEP);
         let incarnation = self.vms[vm].incarnation;
-        self.schedule(done, Event::Answer { vm, incarnation, answer });
+        self.enqueue(done, Event::Answer { vm, incarnation, answer });
     }
 
     /// The answer of an endpoint of a version.
@@ -392,7 +392,7 @@
             };
             let lost = self.scenario.faults.iter().map(lost).fold(0.0, f64::max);
             if !self.rng.random_bool(lost) {
-                self.schedule(now + REPORT_DELAY, Event::Report { to, from, report: report.clone() });
+                self.enqueue(now + REPORT_DELAY, Event::Report { to, from, report: report.clone() });
             }
         }
     }
@@ -434,12 +434,8 @@
         }
         match status.outcome {
             RolloutOutcome::Running => {},
-            RolloutOutcome::Succeeded => {
-                self.schedule(now + LIST_DELAY, Event::Listed { version: OLD, is_listed: false })
-            },
-            RolloutOutcome::RolledBack => {
-                self.schedule(now + DRAIN_TIME, Event::Listed { version: NEW, is_listed: false })
-            },
+            RolloutOutcome::Succeeded => self.enqueue(now + LIST_LAG, Event::Listed { version: OLD, is_listed: false }),
+            RolloutOutcome::RolledBack => self.enqueue(now + DRAIN, Event::Listed { version: NEW, is_listed: false }),
         }
         self.statuses = vec![status];
     }
