--- a/havengrade_core/tests/published_bad_version.rs
+++ b/havengrade_core/tests/published_bad_version.rs
@@ -49,8 +49,8 @@
         ("all restarted at full traffic", vec![all(17_050)]),
         ("all restarted after the end", vec![all(20_000)]),
         ("endpoints listed late", vec![Fault::Unlisted { until: 17_000 }]),
-        ("store unreachable", vec![Fault::StoreAway { from: 3_000, until: 17_000 }]),
-        ("store unreachable at the end", vec![Fault::StoreAway { from: 16_000, until: 24_000 }]),
+        ("store unreachable", vec![Fault::StoreUnreachable { from: 3_000, until: 17_000 }]),
+        ("store unreachable at the end", vec![Fault::StoreUnreachable { from: 16_000, until: 24_000 }]),
         ("reports lost", vec![Fault::ReportsLost { share: 0.8, from: 3_000, until: 40_000 }]),
         ("no reports", vec![Fault::ReportsLost { share: 1.0, from: 8_000, until: 14_000 }]),
     ]
--- a/havengrade_core/tests/support/rollout_day.rs
+++ b/havengrade_core/tests/support/rollout_day.rs
@@ -27,7 +27,7 @@
     /// The endpoints of the new version are missing from the endpoint list until then.
     Unlisted { until: u64 },
     /// The store is unreachable.
-    StoreAway { from: u64, until: u64 },
+    StoreUnreachable { from: u64, until: u64 },
     /// A share of the reports between VMs is lost.
     ReportsLost { share: f64, from: u64, until: u64 },
     /// A share of the endpoints of all versions fails a share of the requests.
--- a/havengrade_core/tests/support/rollout_fleet.rs
+++ b/havengrade_core/tests/support/rollout_fleet.rs
@@ -159,10 +159,10 @@
         })
     }
 
-    fn is_store_away(&self, now: u64) -> bool {
-        let is_away =
-            |fault: &Fault| matches!(fault, Fault::StoreAway { from, until } if (*from..*until).contains(&now));
-        self.scenario.faults.iter().any(is_away)
+    fn is_store_unreachable(&self, now: u64) -> bool {
+        let is_unreachable =
+            |fault: &Fault| matches!(fault, Fault::StoreUnreachable { from, until } if (*from..*until).contains(&now));
+        self.scenario.faults.iter().any(is_unreachable)
     }
 
     fn order(&self) -> RolloutOrder {
@@ -398,9 +398,9 @@
     }
 
     fn update_status(&mut self, index: usize, now: u64) {
-        let is_away = self.is_store_away(now);
+        let is_unreachable = self.is_store_unreachable(now);
         // Two VMs read the written statuses; the others learn of them from reports.
-        if index < 2 && is_read_due(now) && !is_away {
+        if index < 2 && is_read_due(now) && !is_unreachable {
             self.read(index);
         }
         let status_updates = self.vms[index].rollouts.status_updates(BOUNDS, at(now));
@@ -410,7 +410,7 @@
             let known = self.vms[index].pending_write.filter(|(due, _)| *due == outcome);
             let due = known.map_or_else(|| now + self.rng.random_range(0..spread), |(_, due)| due);
             self.vms[index].pending_write = Some((outcome, due));
-            if now < due || is_away {
+            if now < due || is_unreachable {
                 continue;
             }
             self.read(index);
