--- a/havengrade_dev/src/stand_in/memory_store.rs
+++ b/havengrade_dev/src/stand_in/memory_store.rs
@@ -16,7 +16,7 @@
     published::{
         dialect::OwnDialect,
         ports::{
-            Feed, KnownVersion, OperatorEvent, Ports, QuarantineBook, Roster, StatusBook, StoreError, WriteOutcome,
+            Feed, OperatorEvent, Ports, QuarantineList, ReplacedVersion, RolloutStore, Roster, StoreError, WriteOutcome,
         },
     },
     shared::lock,
@@ -37,7 +37,7 @@
     operators: Vec<OperatorEvent>,
     endpoints: Vec<DirectoryEvent>,
     statuses: Vec<RolloutStatus>,
-    versions: BTreeMap<String, KnownVersion>,
+    versions: BTreeMap<String, ReplacedVersion>,
     held: BTreeMap<RequestFingerprint, QuarantineEntry>,
     vms: BTreeMap<String, Peer>,
     calls: u64,
@@ -125,7 +125,7 @@
     }
 
     /// What is kept of versions that were replaced.
-    pub fn known_versions(&self) -> Vec<KnownVersion> {
+    pub fn known_versions(&self) -> Vec<ReplacedVersion> {
         lock(&self.kept).versions.values().cloned().collect()
     }
 
@@ -149,7 +149,7 @@
             statuses: Box::new(feed()),
             quarantine: Arc::new(feed()),
             roster: Box::new(feed()),
-            hands_news_on: true,
+            uses_state_transfer: true,
         }
     }
 }
@@ -250,7 +250,7 @@
 }
 
 #[async_trait]
-impl StatusBook for MemoryFeed {
+impl RolloutStore for MemoryFeed {
     async fn read(&mut self) -> Result<Vec<RolloutStatus>, StoreError> {
         self.call().await?;
         Self::read(self, |kept| &kept.statuses)
@@ -258,7 +258,7 @@
 
     async fn read_all(&mut self) -> Result<Vec<RolloutStatus>, StoreError> {
         self.next = 0;
-        StatusBook::read(self).await
+        RolloutStore::read(self).await
     }
 
     async fn write(&mut self, status: &RolloutStatus) -> Result<WriteOutcome, StoreError> {
@@ -271,26 +271,26 @@
         Ok(WriteOutcome::Written)
     }
 
-    async fn keep(&mut self, known: &KnownVersion) -> Result<(), StoreError> {
+    async fn save_replaced_version(&mut self, known: &ReplacedVersion) -> Result<(), StoreError> {
         self.call().await?;
         lock(&self.store.kept).versions.insert(known.service.clone(), known.clone());
         Ok(())
     }
 
-    async fn kept(&mut self) -> Result<Vec<KnownVersion>, StoreError> {
+    async fn read_replaced_versions(&mut self) -> Result<Vec<ReplacedVersion>, StoreError> {
         self.call().await?;
         Ok(lock(&self.store.kept).versions.values().cloned().collect())
     }
 }
 
 #[async_trait]
-impl QuarantineBook for MemoryFeed {
+impl QuarantineList for MemoryFeed {
     async fn read(&self) -> Result<Vec<QuarantineEntry>, StoreError> {
         self.call().await?;
         Ok(lock(&self.store.kept).held.values().copied().collect())
     }
 
-    async fn keep(&self, hold: &QuarantineEntry) -> Result<(), StoreError> {
+    async fn add(&self, hold: &QuarantineEntry) -> Result<(), StoreError> {
         self.call().await?;
         lock(&self.store.kept).held.entry(hold.fingerprint).or_insert(*hold);
         Ok(())
@@ -318,13 +318,13 @@
 
 #[async_trait]
 impl Roster for MemoryFeed {
-    async fn enter(&self, peer: &Peer) -> Result<(), StoreError> {
+    async fn register(&self, peer: &Peer) -> Result<(), StoreError> {
         self.call().await?;
         lock(&self.store.kept).vms.insert(peer.vm.clone(), peer.clone());
         Ok(())
     }
 
-    async fn leave(&self, vm: &str) -> Result<(), StoreError> {
+    async fn deregister(&self, vm: &str) -> Result<(), StoreError> {
         self.call().await?;
         lock(&self.store.kept).vms.remove(vm);
         Ok(())
--- a/havengrade_dev/tests/published_crashing_request.rs
+++ b/havengrade_dev/tests/published_crashing_request.rs
@@ -31,7 +31,7 @@
 };
 use havengrade_router::{
     clock::Clock,
-    published::{ports::OperatorEvent, program::PublishedRouter},
+    published::{ports::OperatorEvent, router::PublishedRouter},
     router::Parts,
     settings::Settings,
 };
--- a/havengrade_dev/tests/support/published.rs
+++ b/havengrade_dev/tests/support/published.rs
@@ -20,7 +20,7 @@
 use havengrade_router::{
     clock::Clock,
     net::BoxConnection,
-    published::{ports::OperatorEvent, program::PublishedRouter},
+    published::{ports::OperatorEvent, router::PublishedRouter},
     router::Parts,
     settings::Settings,
 };
--- a/havengrade_router/src/published/answers.rs
+++ b/havengrade_router/src/published/answers.rs
@@ -11,7 +11,7 @@
 };
 use hyper::StatusCode;
 
-use crate::published::{context::PublishedContext, job::Job, quarantine::note_left, tries::Try};
+use crate::published::{context::PublishedContext, job::Job, quarantine::record_abandoned_attempt, tries::Try};
 
 /// Counts a request as in progress at this VM.
 pub(super) struct InProgress(PublishedContext);
@@ -152,7 +152,7 @@
         if !self.is_over {
             let waited = self.cx.shared.clock.now().duration_since(self.made.sent).unwrap_or_default();
             note_first(self.cx, self.job, self.made, waited);
-            note_left(self.cx, self.job, &self.made.endpoint, self.made.sent);
+            record_abandoned_attempt(self.cx, self.job, &self.made.endpoint, self.made.sent);
         }
     }
 }
--- a/havengrade_router/src/published/channels.rs
+++ b/havengrade_router/src/published/channels.rs
@@ -22,7 +22,7 @@
 
 use crate::{
     net::{BoxConnection, Network},
-    quarantine::{Presence, look},
+    quarantine::{ProbeResult, probe},
     shared::lock,
 };
 
@@ -155,8 +155,8 @@
     }
 
     /// Looks whether an endpoint is there; a connection that comes about is kept for the next request.
-    pub async fn look(&self, endpoint: &str, address: SocketAddr, now: SystemTime) -> Presence {
-        let (found, connection) = look(&*self.network, address, self.connect_timeout).await;
+    pub async fn probe(&self, endpoint: &str, address: SocketAddr, now: SystemTime) -> ProbeResult {
+        let (found, connection) = probe(&*self.network, address, self.connect_timeout).await;
         if let Some(connection) = connection
             && let Ok(channel) = greet(connection, address).await
         {
--- a/havengrade_router/src/published/configured.rs
+++ b/havengrade_router/src/published/config_ports.rs
@@ -31,8 +31,8 @@
     published::{
         dialect::OwnDialect,
         ports::{
-            CallerFacts, Dialect, EndpointHead, Feed, KnownVersion, NotDoneSnafu, OperatorEvent, Ports, QuarantineBook,
-            Roster, SendOrder, StatusBook, StoreError, WriteOutcome,
+            AnswerHead, Dialect, Feed, ForwardAttributes, NotDoneSnafu, OperatorEvent, Ports, QuarantineList,
+            ReplacedVersion, RequestAttributes, RolloutStore, Roster, StoreError, WriteOutcome,
         },
     },
     shared::Shared,
@@ -50,7 +50,7 @@
         statuses: Box::new(NoRollouts),
         quarantine: Arc::new(ToldOnly),
         roster: Box::new(ListedVms(cx.vm_list.clone())),
-        hands_news_on: false,
+        uses_state_transfer: false,
     }
 }
 
@@ -64,19 +64,19 @@
 }
 
 impl Dialect for ConfiguredDialect {
-    fn decode_request(&self, headers: &HeaderMap) -> CallerFacts {
+    fn decode_request(&self, headers: &HeaderMap) -> RequestAttributes {
         let facts = self.own.decode_request(headers);
         let id = facts.id.or_else(|| Some(self.shared.new_request_id()));
         let key = facts.key.map(|key| secret::digest_hex(key.as_bytes()));
-        CallerFacts { id, key, ..facts }
+        RequestAttributes { id, key, ..facts }
     }
 
-    fn encode_request(&self, headers: &mut HeaderMap, order: &SendOrder<'_>) {
+    fn encode_request(&self, headers: &mut HeaderMap, order: &ForwardAttributes<'_>) {
         self.own.encode_request(headers, order);
     }
 
-    fn decode_answer(&self, status: StatusCode, headers: &HeaderMap) -> EndpointHead {
-        EndpointHead { is_proven: true, ..self.own.decode_answer(status, headers) }
+    fn decode_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead {
+        AnswerHead { is_authentic: true, ..self.own.decode_answer(status, headers) }
     }
 
     fn strip_answer(&self, headers: &mut HeaderMap) {
@@ -126,7 +126,7 @@
         // What other VMs have replayed, this one replays itself.
     }
 
-    fn known_at(&self, asked: SystemTime) -> Option<SystemTime> {
+    fn confirmed_at(&self, asked: SystemTime) -> Option<SystemTime> {
         Some(self.shared.confirmed().min(asked))
     }
 }
@@ -154,7 +154,7 @@
 struct NoRollouts;
 
 #[async_trait]
-impl StatusBook for NoRollouts {
+impl RolloutStore for NoRollouts {
     async fn read(&mut self) -> Result<Vec<RolloutStatus>, StoreError> {
         Ok(Vec::new())
     }
@@ -167,11 +167,11 @@
         NotDoneSnafu { reason: "no roll-out of a plain service can be ordered here" }.fail()
     }
 
-    async fn keep(&mut self, _known: &KnownVersion) -> Result<(), StoreError> {
+    async fn save_replaced_version(&mut self, _known: &ReplacedVersion) -> Result<(), StoreError> {
         NotDoneSnafu { reason: "no roll-out of a plain service can be ordered here" }.fail()
     }
 
-    async fn kept(&mut self) -> Result<Vec<KnownVersion>, StoreError> {
+    async fn read_replaced_versions(&mut self) -> Result<Vec<ReplacedVersion>, StoreError> {
         Ok(Vec::new())
     }
 }
@@ -180,12 +180,12 @@
 struct ToldOnly;
 
 #[async_trait]
-impl QuarantineBook for ToldOnly {
+impl QuarantineList for ToldOnly {
     async fn read(&self) -> Result<Vec<QuarantineEntry>, StoreError> {
         Ok(Vec::new())
     }
 
-    async fn keep(&self, _hold: &QuarantineEntry) -> Result<(), StoreError> {
+    async fn add(&self, _hold: &QuarantineEntry) -> Result<(), StoreError> {
         Ok(())
     }
 
@@ -208,11 +208,11 @@
 
 #[async_trait]
 impl Roster for ListedVms {
-    async fn enter(&self, _peer: &Peer) -> Result<(), StoreError> {
+    async fn register(&self, _peer: &Peer) -> Result<(), StoreError> {
         Ok(())
     }
 
-    async fn leave(&self, _vm: &str) -> Result<(), StoreError> {
+    async fn deregister(&self, _vm: &str) -> Result<(), StoreError> {
         Ok(())
     }
 
--- a/havengrade_router/src/published/context.rs
+++ b/havengrade_router/src/published/context.rs
@@ -37,7 +37,7 @@
     net::Network,
     published::{
         channels::Channels,
-        ports::{Dialect, QuarantineBook},
+        ports::{Dialect, QuarantineList},
         retries::Retries,
         store_access::StoreAccess,
         take::ToldMeanwhile,
@@ -370,7 +370,7 @@
     /// The network.
     pub network: Arc<dyn Network>,
     /// The kept list of requests that are held back.
-    pub quarantine_book: Arc<dyn QuarantineBook>,
+    pub quarantine_list: Arc<dyn QuarantineList>,
     /// Ends the tasks of traffic.
     pub end: CancellationToken,
     /// Makes callers' connections end with the answer that they are at.
@@ -378,7 +378,7 @@
     /// Callers' connections and whatever else a planned stop waits for.
     pub connections: TaskTracker,
     /// Whether VMs take what operators wrote from each other.
-    pub hands_news_on: bool,
+    pub uses_state_transfer: bool,
     /// Number of the router within the process, since the registry of actors is the process's.
     pub number: u64,
 }
--- a/havengrade_router/src/published/dialect.rs
+++ b/havengrade_router/src/published/dialect.rs
@@ -8,7 +8,7 @@
     header::{HeaderName, HeaderValue, RETRY_AFTER},
 };
 
-use crate::published::ports::{CallerFacts, Dialect, EndpointHead, ReportedLoad, SendOrder};
+use crate::published::ports::{AnswerHead, Dialect, ForwardAttributes, ReportedLoad, RequestAttributes};
 
 /// Id of a caller's attempt, echoed by endpoints.
 pub const REQUEST: HeaderName = HeaderName::from_static("havengrade-request");
@@ -49,20 +49,20 @@
 pub struct OwnDialect;
 
 impl Dialect for OwnDialect {
-    fn decode_request(&self, headers: &HeaderMap) -> CallerFacts {
-        CallerFacts {
+    fn decode_request(&self, headers: &HeaderMap) -> RequestAttributes {
+        RequestAttributes {
             id: text(headers, &REQUEST),
-            patience: number(headers, &TIME_LEFT_MS).map(Duration::from_millis),
+            time_limit: number(headers, &TIME_LEFT_MS).map(Duration::from_millis),
             key: text(headers, &KEY),
             session: text(headers, &SESSION),
             last_event: text(headers, &LAST_EVENT_ID),
-            leaves_model_open: text(headers, &MODEL).is_some_and(|model| model == ANY_MODEL),
+            lets_router_choose_model: text(headers, &MODEL).is_some_and(|model| model == ANY_MODEL),
             prompt_parts: Vec::new(),
             tokens: None,
         }
     }
 
-    fn encode_request(&self, headers: &mut HeaderMap, order: &SendOrder<'_>) {
+    fn encode_request(&self, headers: &mut HeaderMap, order: &ForwardAttributes<'_>) {
         for name in [&KEY, &ACCOUNT, &ENDPOINT, &PRIORITY] {
             headers.remove(name);
         }
@@ -82,13 +82,13 @@
         }
     }
 
-    fn decode_answer(&self, status: StatusCode, headers: &HeaderMap) -> EndpointHead {
+    fn decode_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead {
         let is_not_run = headers.contains_key(&NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST;
         let running = number(headers, &RUNNING).and_then(|value| u32::try_from(value).ok());
-        EndpointHead {
+        AnswerHead {
             run: if is_not_run { RunState::NotRun } else { RunState::Ran },
             request: text(headers, &REQUEST),
-            is_proven: headers.contains_key(&REQUEST) && (!status.is_success() || headers.contains_key(&SIGNATURE)),
+            is_authentic: headers.contains_key(&REQUEST) && (!status.is_success() || headers.contains_key(&SIGNATURE)),
             load: running.map(|running| ReportedLoad { running, waiting: 0 }),
             signal: Signal {
                 limit_per_s: decimal(headers, &LIMIT_PER_S),
--- a/havengrade_router/src/published/events.rs
+++ b/havengrade_router/src/published/events.rs
@@ -27,7 +27,7 @@
         context::PublishedContext,
         job::Job,
         pace::Pace,
-        quarantine::{may_resume, note_answered, note_break, note_left},
+        quarantine::{may_resume, record_abandoned_attempt, record_answer, record_broken_attempt},
         refuse::{AnswerBody, BodyError},
         rewrite::answer_head,
         tries::{Opened, Try, fail, log_try, open},
@@ -171,7 +171,7 @@
                 awaited.end();
                 note_broken(cx, job, &source.made.endpoint);
             }
-            note_break(cx, job, &source.made.endpoint, sent);
+            record_broken_attempt(cx, job, &source.made.endpoint, sent);
             fail(cx, &source.made.endpoint);
             return Err(RunState::MayHaveRun);
         },
@@ -227,11 +227,11 @@
             let broken = match ended {
                 Ended::Complete => return self.finish(&job, source),
                 Ended::CallerLeft => {
-                    note_left(&self.cx, &job, &source.made.endpoint, source.made.sent);
+                    record_abandoned_attempt(&self.cx, &job, &source.made.endpoint, source.made.sent);
                     return self.log_end(&job, Some(&source.made.endpoint), "the caller left");
                 },
                 Ended::TimeOver => {
-                    note_left(&self.cx, &job, &source.made.endpoint, source.made.sent);
+                    record_abandoned_attempt(&self.cx, &job, &source.made.endpoint, source.made.sent);
                     self.log_end(&job, Some(&source.made.endpoint), "the time limit was reached");
                     return self.break_off("the time limit was reached").await;
                 },
@@ -241,7 +241,7 @@
             if broken == Broken::CutOff {
                 note_broken(&self.cx, &job, &source.made.endpoint);
             }
-            note_break(&self.cx, &job, &source.made.endpoint, source.made.sent);
+            record_broken_attempt(&self.cx, &job, &source.made.endpoint, source.made.sent);
             fail(&self.cx, &source.made.endpoint);
             // The run that broke off is ended before another one goes on.
             drop(source);
@@ -354,7 +354,7 @@
         note_end(&self.cx, job, &endpoint, None);
         note_session_end(&self.cx, job, &endpoint.version);
         succeed(&self.cx, &endpoint);
-        note_answered(&self.cx, job, &endpoint.version, self.cx.shared.clock.now());
+        record_answer(&self.cx, job, &endpoint.version, self.cx.shared.clock.now());
         self.log_end(job, Some(&endpoint), "complete");
         self.cx.shared.channels.keep(&endpoint.id, channel, self.cx.shared.clock.now());
     }
--- a/havengrade_router/src/published/follow.rs
+++ b/havengrade_router/src/published/follow.rs
@@ -245,7 +245,7 @@
                 self.cx.shared.store.pause(None);
                 self.is_hurried = false;
                 // What may be missing does not make the view any newer.
-                let at = self.feed.known_at(asked).unwrap_or(self.freshness.confirmed);
+                let at = self.feed.confirmed_at(asked).unwrap_or(self.freshness.confirmed);
                 if self.freshness.is_store_unreachable_for_peers(self.cx.shared.clock.now())
                     && !self.cx.shared.store.is_reader()
                 {
--- a/havengrade_router/src/published/forward.rs
+++ b/havengrade_router/src/published/forward.rs
@@ -24,7 +24,7 @@
     context::PublishedContext,
     events,
     job::{Job, admit},
-    quarantine::{self, note_answered, note_break, note_left, note_unframed},
+    quarantine::{self, record_abandoned_attempt, record_answer, record_broken_attempt, record_unframed_answer},
     refuse::{AnswerBody, Refusal, whole},
     rewrite::answer_head,
     tries::{LIMIT_SLACK, Opened, Try, fail, log_try, open},
@@ -214,7 +214,7 @@
     let took = now.duration_since(opened.made.sent).unwrap_or_default();
     note_first(cx, job, &opened.made, took);
     note_end(cx, job, &opened.made.endpoint, None);
-    note_left(cx, job, &opened.made.endpoint, opened.made.sent);
+    record_abandoned_attempt(cx, job, &opened.made.endpoint, opened.made.sent);
     succeed(cx, &opened.made.endpoint);
     log::info!(
         request = job.id.as_str(),
@@ -239,7 +239,7 @@
     let Ok(Ok(collected)) = collected else {
         log_try(job, endpoint, "the answer broke off");
         note_broken(cx, job, endpoint);
-        note_break(cx, job, endpoint, made.sent);
+        record_broken_attempt(cx, job, endpoint, made.sent);
         fail(cx, endpoint);
         return Tried::Failed(RunState::MayHaveRun);
     };
@@ -268,9 +268,9 @@
 fn note_whole(cx: &PublishedContext, job: &Job, made: &Try, head: &response::Parts, now: SystemTime) {
     let has_end = head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
     if has_end {
-        note_answered(cx, job, &made.endpoint.version, now);
+        record_answer(cx, job, &made.endpoint.version, now);
         return;
     }
     let (cx, job, made) = (cx.clone(), job.clone(), made.clone());
-    tokio::spawn(async move { note_unframed(&cx, &job, &made.endpoint, made.sent).await });
+    tokio::spawn(async move { record_unframed_answer(&cx, &job, &made.endpoint, made.sent).await });
 }
--- a/havengrade_router/src/published/hand_on.rs
+++ b/havengrade_router/src/published/hand_on.rs
@@ -20,8 +20,8 @@
     net::{BoxConnection, Listener},
     published::{
         context::PublishedContext,
-        parts::{deflate, endpoints_text, operators_text, vms_text},
-        rollouts::told_rollouts,
+        rollouts::reported_rollouts,
+        state_parts::{deflate_json, encode_endpoints_part, encode_operators_part, encode_vms_part},
         wire::{encode_quarantine, encode_rollout, encode_signals, from_i64, to_i64},
     },
     services::ACCEPT_PAUSE,
@@ -192,14 +192,14 @@
         // Without its own first reads this VM has nothing to tell but whom it knows.
         if question.only_vms {
             if cx.shared.peers().is_list_loaded() {
-                answer.head.vms = Some(answer.part(0, Duration::ZERO, vms_text(cx)?));
+                answer.head.vms = Some(answer.part(0, Duration::ZERO, encode_vms_part(cx)?));
             }
             return Ok(answer);
         }
         if can_hand_on(cx, question) {
             answer.add_operators(cx, question, now)?;
             answer.add_endpoints(cx, question, now)?;
-            answer.head.rollouts = told_rollouts(cx, now)
+            answer.head.rollouts = reported_rollouts(cx, now)
                 .map(|told| told.into_iter().map(|(told, usual)| encode_rollout(told, usual)).collect());
         } else {
             answer.head.reading_age_ms = cx.shared.store_read_at(now).map(|at| age_ms(at, now));
@@ -207,7 +207,7 @@
         answer.head.quarantine = cx.shared.quarantine().full_report(now).map(encode_quarantine);
         answer.head.signals = Some(encode_signals(cx.shared.send_limits().signals.transfer_entries(now)));
         if question.wants_vms && can_hand_on(cx, question) {
-            answer.head.vms = Some(answer.part(0, Duration::ZERO, vms_text(cx)?));
+            answer.head.vms = Some(answer.part(0, Duration::ZERO, encode_vms_part(cx)?));
         }
         Ok(answer)
     }
@@ -215,7 +215,7 @@
     fn add_operators(&mut self, cx: &PublishedContext, question: &StateQuestion, now: SystemTime) -> io::Result<()> {
         let position = cx.shared.store.view().operators.unwrap_or_default();
         let is_news = question.operators_position.is_none_or(|known| from_i64(known) < position);
-        let text = if is_news { operators_text(cx, position)? } else { Bytes::new() };
+        let text = if is_news { encode_operators_part(cx, position)? } else { Bytes::new() };
         self.head.operators = Some(self.part(position, cx.shared.config_age(now).unwrap_or_default(), text));
         Ok(())
     }
@@ -232,9 +232,9 @@
         let is_ahead = known.is_some_and(|known| known > position);
         let text = match changes {
             Some(changes) if changes.is_empty() => Bytes::new(),
-            Some(changes) => deflate(&changes)?,
+            Some(changes) => deflate_json(&changes)?,
             None if is_ahead => Bytes::new(),
-            None => endpoints_text(cx, revision)?,
+            None => encode_endpoints_part(cx, revision)?,
         };
         self.head.endpoints = Some(self.part(position, age, text));
         Ok(())
--- a/havengrade_router/src/published/job.rs
+++ b/havengrade_router/src/published/job.rs
@@ -19,7 +19,7 @@
 use hyper::{Version, body::Incoming, header, http::request};
 use tokio::time::timeout;
 
-use crate::published::{context::PublishedContext, ports::CallerFacts, refuse::Refusal, stopping::is_too_late};
+use crate::published::{context::PublishedContext, ports::RequestAttributes, refuse::Refusal, stopping::is_too_late};
 
 /// Time after which a first event is looked for elsewhere, as a multiple of the route's target.
 const FIRST_EVENT_FACTOR: f64 = 1.5;
@@ -38,7 +38,7 @@
     /// Its whole body.
     pub(super) body: Bytes,
     /// What its headers say.
-    pub(super) facts: CallerFacts,
+    pub(super) facts: RequestAttributes,
     /// Its route.
     pub(super) route: PublishedRoute,
     /// The service that answers.
@@ -120,7 +120,7 @@
     cx: &PublishedContext,
     head: request::Parts,
     body: Incoming,
-    facts: CallerFacts,
+    facts: RequestAttributes,
     arrived: SystemTime,
 ) -> Result<Job, Refusal> {
     if !cx.shared.knows_routes() {
@@ -133,7 +133,7 @@
     let route = routes.find(host, head.uri.path()).ok_or_else(|| unknown(cx, Refusal::NoRoute, arrived))?.clone();
     let account = find_account(cx, &routes, &route, &facts, arrived)?;
     let service = route.service_for(&id).ok_or(Refusal::NoEndpoint)?.clone();
-    let patience = facts.patience.unwrap_or(route.time_limit).min(route.time_limit);
+    let patience = facts.time_limit.unwrap_or(route.time_limit).min(route.time_limit);
     if is_too_late(cx, patience, arrived) {
         return Err(Refusal::Stopping);
     }
@@ -150,8 +150,10 @@
         AnswerShape::Whole => route.repeat,
     };
     let may_ask_again = model_choice::may_escalate(&route, repeat == Repeat::Allowed, facts.last_event.is_some());
-    let model =
-        facts.leaves_model_open.then(|| model_choice::initial_model(&route.models, may_ask_again).cloned()).flatten();
+    let model = facts
+        .lets_router_choose_model
+        .then(|| model_choice::initial_model(&route.models, may_ask_again).cloned())
+        .flatten();
     let (account, own_priority) = account.unzip();
     Ok(Job {
         id,
@@ -185,7 +187,7 @@
     cx: &PublishedContext,
     routes: &RouteTable,
     route: &PublishedRoute,
-    facts: &CallerFacts,
+    facts: &RequestAttributes,
     now: SystemTime,
 ) -> Result<Identity, Refusal> {
     if route.is_public || !routes.needs_keys() {
--- a/havengrade_router/src/published/peers.rs
+++ b/havengrade_router/src/published/peers.rs
@@ -25,7 +25,7 @@
     net::Datagrams,
     published::{
         context::PublishedContext,
-        quarantine::tell,
+        quarantine::apply_changes,
         signals::hear as hear_signals,
         store_view::{Questions, answer, hint},
         wire::{Report, decode_report, encode_report},
@@ -313,7 +313,7 @@
         log_learned(&learned, peer);
     }
     let changes = cx.shared.quarantine().merge_report(report.quarantine, now);
-    tell(cx, &changes);
+    apply_changes(cx, &changes);
     hear_signals(cx, report.signals, now);
     cx.shared.peers().apply_report(report.work, now);
     cx.shared.tell_heard();
--- a/havengrade_router/src/published/ports.rs
+++ b/havengrade_router/src/published/ports.rs
@@ -35,11 +35,11 @@
 
 /// What a request's headers tell the router.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct CallerFacts {
+pub struct RequestAttributes {
     /// Id of this attempt of the caller.
     pub id: Option<RequestId>,
     /// Time for which the caller waits.
-    pub patience: Option<Duration>,
+    pub time_limit: Option<Duration>,
     /// Key of the client account.
     pub key: Option<String>,
     /// Session that the request belongs to.
@@ -47,7 +47,7 @@
     /// Id of the last event that the caller has, where it resumes a stream.
     pub last_event: Option<String>,
     /// Whether the router chooses the model.
-    pub leaves_model_open: bool,
+    pub lets_router_choose_model: bool,
     /// Parts of the prompt in order; the last one is the request's own.
     pub prompt_parts: Vec<PromptPart>,
     /// Tokens of the prompt and the most that may be generated.
@@ -65,7 +65,7 @@
 
 /// What the router tells an endpoint beside the caller's request.
 #[derive(Clone, Copy, Debug)]
-pub struct SendOrder<'a> {
+pub struct ForwardAttributes<'a> {
     /// The endpoint that is meant; another one at its address must not run the request.
     pub endpoint: &'a str,
     /// Time that is left for the answer.
@@ -93,13 +93,13 @@
 
 /// What the head of an endpoint's answer tells the router.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EndpointHead {
+pub struct AnswerHead {
     /// Whether the request ran.
     pub run: RunState,
     /// Id of the request that is answered.
     pub request: Option<RequestId>,
     /// Whether the answer shows that it is the endpoint's own to this request, as far as its like can.
-    pub is_proven: bool,
+    pub is_authentic: bool,
     /// Load of the endpoint.
     pub load: Option<ReportedLoad>,
     /// What the endpoint says of itself beside that.
@@ -113,13 +113,13 @@
 /// How requests and answers are written on the wire.
 pub trait Dialect: Send + Sync {
     /// Reads what a request's headers tell the router.
-    fn decode_request(&self, headers: &HeaderMap) -> CallerFacts;
+    fn decode_request(&self, headers: &HeaderMap) -> RequestAttributes;
 
     /// Replaces what callers may not set, and adds the order.
-    fn encode_request(&self, headers: &mut HeaderMap, order: &SendOrder<'_>);
+    fn encode_request(&self, headers: &mut HeaderMap, order: &ForwardAttributes<'_>);
 
     /// Reads the head of an endpoint's answer.
-    fn decode_answer(&self, status: StatusCode, headers: &HeaderMap) -> EndpointHead;
+    fn decode_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
 
     /// Takes out of an answer what is meant for the router only.
     fn strip_answer(&self, headers: &mut HeaderMap);
@@ -177,7 +177,7 @@
 
     /// When what the last call gave was the newest for sure, where the call began at `asked`; none where a store may miss what it
     /// held before, and it is written again by and by.
-    fn known_at(&self, asked: SystemTime) -> Option<SystemTime> {
+    fn confirmed_at(&self, asked: SystemTime) -> Option<SystemTime> {
         Some(asked)
     }
 
@@ -196,7 +196,7 @@
 
 /// The store's record of how roll-outs stand.
 #[async_trait]
-pub trait StatusBook: Send + Sync {
+pub trait RolloutStore: Send + Sync {
     /// Reads the states that were written since the last call; the first gives all.
     ///
     /// # Errors
@@ -223,19 +223,19 @@
     /// # Errors
     ///
     /// [`StoreError`] where it was not kept, or may not have been.
-    async fn keep(&mut self, known: &KnownVersion) -> Result<(), StoreError>;
+    async fn save_replaced_version(&mut self, known: &ReplacedVersion) -> Result<(), StoreError>;
 
     /// Reads what is kept of versions that were replaced.
     ///
     /// # Errors
     ///
     /// [`StoreError`] where the store could not be read.
-    async fn kept(&mut self) -> Result<Vec<KnownVersion>, StoreError>;
+    async fn read_replaced_versions(&mut self) -> Result<Vec<ReplacedVersion>, StoreError>;
 }
 
 /// What is known of a version that a roll-out replaces.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KnownVersion {
+pub struct ReplacedVersion {
     /// The service.
     pub service: ServiceId,
     /// The version that replaces it.
@@ -246,7 +246,7 @@
 
 /// The kept list of requests that are held back, since they crash the endpoints that run them.
 #[async_trait]
-pub trait QuarantineBook: Send + Sync {
+pub trait QuarantineList: Send + Sync {
     /// All that are on the list.
     ///
     /// # Errors
@@ -259,7 +259,7 @@
     /// # Errors
     ///
     /// [`StoreError`] where it was not entered, or may not have been.
-    async fn keep(&self, hold: &QuarantineEntry) -> Result<(), StoreError>;
+    async fn add(&self, hold: &QuarantineEntry) -> Result<(), StoreError>;
 
     /// Takes a request off the list, since it is free.
     ///
@@ -285,14 +285,14 @@
     /// # Errors
     ///
     /// [`StoreError`] where it was not entered, or may not have been.
-    async fn enter(&self, peer: &Peer) -> Result<(), StoreError>;
+    async fn register(&self, peer: &Peer) -> Result<(), StoreError>;
 
     /// Takes a VM out that stops.
     ///
     /// # Errors
     ///
     /// [`StoreError`] where it was not taken out, or may not have been.
-    async fn leave(&self, vm: &str) -> Result<(), StoreError>;
+    async fn deregister(&self, vm: &str) -> Result<(), StoreError>;
 
     /// All VMs on the list; some may be gone.
     ///
@@ -311,11 +311,11 @@
     /// The list of endpoints.
     pub endpoints: Box<dyn Feed<DirectoryEvent>>,
     /// States of roll-outs.
-    pub statuses: Box<dyn StatusBook>,
+    pub statuses: Box<dyn RolloutStore>,
     /// Requests that are held back.
-    pub quarantine: Arc<dyn QuarantineBook>,
+    pub quarantine: Arc<dyn QuarantineList>,
     /// The VMs that serve published routes.
     pub roster: Box<dyn Roster>,
     /// Whether VMs take what operators wrote from each other, since reading it has its price.
-    pub hands_news_on: bool,
+    pub uses_state_transfer: bool,
 }
--- a/havengrade_router/src/published/quarantine.rs
+++ b/havengrade_router/src/published/quarantine.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     published::{context::PublishedContext, job::Job, refuse::Refusal},
-    quarantine::{Presence, log_changes, log_look, name},
+    quarantine::{ProbeResult, format_fingerprint, log_changes, log_probe},
 };
 
 /// Least time between two looks at an endpoint; all requests there break in the same moment when it ends.
@@ -44,7 +44,7 @@
 const KEEP_SPREAD_MS: u64 = 1500;
 
 /// What may be done with a request before its next try, once it is judged by what all VMs saw; others' reports are waited for.
-async fn standing(cx: &PublishedContext, job: &Job) -> QuarantineStatus {
+async fn wait_for_status(cx: &PublishedContext, job: &Job) -> QuarantineStatus {
     let mut standing = QuarantineStatus::Free;
     for _ in 0..MAX_WAITS {
         let now = cx.shared.clock.now();
@@ -57,19 +57,19 @@
             return standing;
         }
         sleep(decided_in.max(LEAST_WAIT)).await;
-        settle(cx, cx.shared.clock.now());
+        evaluate_suspects(cx, cx.shared.clock.now());
     }
     standing
 }
 
 /// Whether a stream may be taken up as far as is known; a trial is one send.
 pub(super) async fn may_resume(cx: &PublishedContext, job: &Job) -> bool {
-    !job.is_trial && standing(cx, job).await == QuarantineStatus::Free
+    !job.is_trial && wait_for_status(cx, job).await == QuarantineStatus::Free
 }
 
 /// Lets a request through, or refuses it where it is held back; gives what it is held for where it may be tried once more.
 pub(super) async fn admit(cx: &PublishedContext, job: &Job) -> Result<Option<QuarantineEntry>, Refusal> {
-    let held = match standing(cx, job).await {
+    let held = match wait_for_status(cx, job).await {
         QuarantineStatus::Free => return Ok(None),
         QuarantineStatus::TrialDue(hold) if !job.attempts.is_repeat() => return Ok(Some(hold)),
         QuarantineStatus::TrialDue(_) => Refusal::Quarantined { back_after: CLAIM_PAUSE },
@@ -87,7 +87,7 @@
 pub(super) async fn claim_trial(cx: &PublishedContext, job: &mut Job, hold: &QuarantineEntry) -> Result<bool, Refusal> {
     let now = cx.shared.clock.now();
     let held = Refusal::Quarantined { back_after: CLAIM_PAUSE };
-    let claimed = match cx.quarantine_book.claim_trial(hold, now).await {
+    let claimed = match cx.quarantine_list.claim_trial(hold, now).await {
         Ok(claimed) => claimed,
         Err(error) => {
             log::warn!(request = job.id.as_str(); "a request that is held back is not tried: {error}");
@@ -110,7 +110,7 @@
     }
     log::info!(
         request = job.id.as_str(),
-        mark = name(kept.fingerprint).as_str(),
+        mark = format_fingerprint(kept.fingerprint).as_str(),
         trials = kept.trials;
         "a request that is held back is tried once more"
     );
@@ -124,83 +124,88 @@
 }
 
 /// Notes that a request got a whole answer, so that it is none of those that crash endpoints.
-pub(super) fn note_answered(cx: &PublishedContext, job: &Job, version: &str, now: SystemTime) {
+pub(super) fn record_answer(cx: &PublishedContext, job: &Job, version: &str, now: SystemTime) {
     cx.shared.note_answer(now);
     let run = run_of(job, version);
     let change = cx.shared.quarantine().record_answer(run, now);
-    tell(cx, change.as_slice());
+    apply_changes(cx, change.as_slice());
 }
 
 /// Notes that a try broke: the connection was lost, the answer broke off, or nothing came; then looks whether the endpoint has ended.
-pub(super) fn note_break(cx: &PublishedContext, job: &Job, endpoint: &ListedEndpoint, sent: SystemTime) {
+pub(super) fn record_broken_attempt(cx: &PublishedContext, job: &Job, endpoint: &ListedEndpoint, sent: SystemTime) {
     let now = cx.shared.clock.now();
     let ran_for = now.duration_since(sent).unwrap_or_default();
     let run = run_of(job, &endpoint.version);
     cx.shared.quarantine().record_broken_attempt(run, &endpoint.id, ran_for, now);
-    settle(cx, now);
+    evaluate_suspects(cx, now);
     let is_due = cx.shared.states.slot(&endpoint.id).is_some_and(|slot| slot.begin_look(LOOK_PAUSE, now));
     if !is_due {
         return;
     }
     let (cx, endpoint) = (cx.clone(), endpoint.clone());
-    tokio::spawn(async move { look(&cx, &endpoint).await });
+    tokio::spawn(async move { probe_endpoint(&cx, &endpoint).await });
 }
 
 /// Notes that a try was given up while its endpoint may be at work on it; if the endpoint ends right after, that is its crash.
-pub(super) fn note_left(cx: &PublishedContext, job: &Job, endpoint: &ListedEndpoint, sent: SystemTime) {
+pub(super) fn record_abandoned_attempt(cx: &PublishedContext, job: &Job, endpoint: &ListedEndpoint, sent: SystemTime) {
     let now = cx.shared.clock.now();
     let ran_for = now.duration_since(sent).unwrap_or_default();
     cx.shared.quarantine().record_abandoned_attempt(run_of(job, &endpoint.version), &endpoint.id, ran_for, now);
 }
 
 /// Notes an answer that ended with its connection: it was whole if its endpoint is there.
-pub(super) async fn note_unframed(cx: &PublishedContext, job: &Job, endpoint: &ListedEndpoint, sent: SystemTime) {
+pub(super) async fn record_unframed_answer(
+    cx: &PublishedContext,
+    job: &Job,
+    endpoint: &ListedEndpoint,
+    sent: SystemTime,
+) {
     let now = cx.shared.clock.now();
     let ran_for = now.duration_since(sent).unwrap_or_default();
-    match look(cx, endpoint).await {
-        Presence::Answers => note_answered(cx, job, &endpoint.version, now),
-        Presence::Refuses | Presence::Silent => {
+    match probe_endpoint(cx, endpoint).await {
+        ProbeResult::Answers => record_answer(cx, job, &endpoint.version, now),
+        ProbeResult::Refuses | ProbeResult::Silent => {
             let run = run_of(job, &endpoint.version);
             cx.shared.quarantine().record_broken_attempt(run, &endpoint.id, ran_for, now);
-            settle(cx, now);
+            evaluate_suspects(cx, now);
         },
     }
 }
 
-async fn look(cx: &PublishedContext, endpoint: &ListedEndpoint) -> Presence {
-    let found = cx.shared.channels.look(&endpoint.id, endpoint.address, cx.shared.clock.now()).await;
+async fn probe_endpoint(cx: &PublishedContext, endpoint: &ListedEndpoint) -> ProbeResult {
+    let found = cx.shared.channels.probe(&endpoint.id, endpoint.address, cx.shared.clock.now()).await;
     let now = cx.shared.clock.now();
-    log_look(&endpoint.id, found);
+    log_probe(&endpoint.id, found);
     let hears_others = cx.shared.answered_within(ANSWERED_LATELY, now);
     match found {
-        Presence::Refuses => cx.shared.quarantine().record_endpoint_exit(&endpoint.id, now),
-        Presence::Silent if hears_others => cx.shared.quarantine().record_endpoint_exit(&endpoint.id, now),
-        Presence::Silent => {},
-        Presence::Answers => cx.shared.quarantine().record_endpoint_alive(&endpoint.id),
+        ProbeResult::Refuses => cx.shared.quarantine().record_endpoint_exit(&endpoint.id, now),
+        ProbeResult::Silent if hears_others => cx.shared.quarantine().record_endpoint_exit(&endpoint.id, now),
+        ProbeResult::Silent => {},
+        ProbeResult::Answers => cx.shared.quarantine().record_endpoint_alive(&endpoint.id),
     }
-    settle(cx, now);
+    evaluate_suspects(cx, now);
     found
 }
 
 /// Judges by what is known now; where a request waits to be judged, the keeper of the list looks again.
-pub(super) fn settle(cx: &PublishedContext, now: SystemTime) {
-    if judge(cx, now) {
+pub(super) fn evaluate_suspects(cx: &PublishedContext, now: SystemTime) {
+    if quarantine_suspects(cx, now) {
         cx.shared.tell_quarantine();
     }
 }
 
 /// Judges by what is known now; tells whether a request waits to be judged.
-fn judge(cx: &PublishedContext, now: SystemTime) -> bool {
+fn quarantine_suspects(cx: &PublishedContext, now: SystemTime) -> bool {
     let (changes, has_suspects) = {
         let mut quarantine = cx.shared.quarantine();
         (quarantine.quarantine_suspects(now), quarantine.has_suspects())
     };
-    tell(cx, &changes);
+    apply_changes(cx, &changes);
     has_suspects
 }
 
 /// Writes the lines of changes, and wakes the keeper of the list.
-pub(super) fn tell(cx: &PublishedContext, changes: &[QuarantineChange]) {
+pub(super) fn apply_changes(cx: &PublishedContext, changes: &[QuarantineChange]) {
     log_changes(changes);
     if !changes.is_empty() {
         cx.shared.tell_quarantine();
@@ -208,17 +213,17 @@
 }
 
 /// Keeps the list of requests that are held back: reads it at a start where no other VM told, and writes what is new.
-pub(super) async fn keep_list(cx: PublishedContext) {
+pub(super) async fn sync_quarantine_list(cx: PublishedContext) {
     let mut keeper = Keeper { cx: cx.clone(), eras: cx.shared.store.eras(), due: HashMap::new() };
     cx.closing.run_until_cancelled(keeper.run()).await;
 }
 
 /// Takes what is on the list; tells whether it could be read.
 async fn read_list(cx: &PublishedContext) -> bool {
-    match cx.quarantine_book.read().await {
+    match cx.quarantine_list.read().await {
         Ok(kept) => {
             let changes = cx.shared.quarantine().merge_stored(&kept, cx.shared.clock.now());
-            tell(cx, &changes);
+            apply_changes(cx, &changes);
             true
         },
         Err(error) => {
@@ -241,7 +246,7 @@
         loop {
             let now = self.cx.shared.clock.now();
             self.cx.shared.quarantine().prune(now);
-            let has_suspects = judge(&self.cx, now);
+            let has_suspects = quarantine_suspects(&self.cx, now);
             if self.eras.has_changed().unwrap_or_default() {
                 self.eras.mark_unchanged();
                 self.look_for_lost().await;
@@ -302,26 +307,26 @@
     }
 
     async fn release(&self, mark: RequestFingerprint) {
-        match self.cx.quarantine_book.release(mark).await {
+        match self.cx.quarantine_list.release(mark).await {
             Ok(()) => {
-                log::info!(mark = name(mark).as_str(); "a request is off the list of those that are held back");
+                log::info!(mark = format_fingerprint(mark).as_str(); "a request is off the list of those that are held back");
                 self.cx.shared.quarantine().set_removed(mark);
             },
             Err(error) => {
-                log::warn!(mark = name(mark).as_str(); "a request that is free is still on the list: {error}");
+                log::warn!(mark = format_fingerprint(mark).as_str(); "a request that is free is still on the list: {error}");
                 sleep(IDLE).await;
             },
         }
     }
 
     async fn keep(&self, hold: &QuarantineEntry) {
-        match self.cx.quarantine_book.keep(hold).await {
+        match self.cx.quarantine_list.add(hold).await {
             Ok(()) => {
-                log::info!(mark = name(hold.fingerprint).as_str(); "a request is on the list of those that are held back");
+                log::info!(mark = format_fingerprint(hold.fingerprint).as_str(); "a request is on the list of those that are held back");
                 self.cx.shared.quarantine().set_stored(hold.fingerprint);
             },
             Err(error) => {
-                log::warn!(mark = name(hold.fingerprint).as_str(); "a request that is held back was not written: {error}");
+                log::warn!(mark = format_fingerprint(hold.fingerprint).as_str(); "a request that is held back was not written: {error}");
                 sleep(IDLE).await;
             },
         }
--- a/havengrade_router/src/published/rewrite.rs
+++ b/havengrade_router/src/published/rewrite.rs
@@ -11,7 +11,7 @@
     http::response,
 };
 
-use crate::published::{context::PublishedContext, job::Job, ports::SendOrder};
+use crate::published::{context::PublishedContext, job::Job, ports::ForwardAttributes};
 
 /// Headers that concern one connection only.
 const HOP_BY_HOP: [HeaderName; 8] = [
@@ -42,7 +42,7 @@
     if job.body.is_empty() && !headers.contains_key(header::CONTENT_LENGTH) {
         headers.remove(header::CONTENT_LENGTH);
     }
-    let order = SendOrder {
+    let order = ForwardAttributes {
         endpoint: &endpoint.id,
         time_left: job.time_left(now),
         account: job.account.as_deref(),
--- a/havengrade_router/src/published/rollouts.rs
+++ b/havengrade_router/src/published/rollouts.rs
@@ -24,8 +24,8 @@
     kernel::{Service, ServiceContext as _, StartError, spawn},
     published::{
         context::PublishedContext,
-        parts::{deflate, inflate},
-        ports::{KnownVersion, NotDoneSnafu, StatusBook, StoreError, WriteOutcome},
+        ports::{NotDoneSnafu, ReplacedVersion, RolloutStore, StoreError, WriteOutcome},
+        state_parts::{deflate_json, inflate_json},
     },
     services::tick,
     shared::lock,
@@ -47,11 +47,11 @@
 
 /// The service, until it is started.
 pub(super) struct RolloutService {
-    book: Mutex<Option<Box<dyn StatusBook>>>,
+    book: Mutex<Option<Box<dyn RolloutStore>>>,
 }
 
 impl RolloutService {
-    pub(super) fn new(book: Box<dyn StatusBook>) -> Self {
+    pub(super) fn new(book: Box<dyn RolloutStore>) -> Self {
         Self { book: Mutex::new(Some(book)) }
     }
 }
@@ -74,7 +74,7 @@
 struct Look;
 
 /// Makes the service look at once.
-pub(super) fn hurry(cx: &PublishedContext) {
+pub(super) fn evaluate_soon(cx: &PublishedContext) {
     let service = ractor::registry::where_is(cx.actor_name(NAME)).map(ActorRef::<Look>::from);
     if let Some(Err(error)) = service.map(|service| service.cast(Look)) {
         log::debug!("the service of roll-outs is gone: {error}");
@@ -83,7 +83,7 @@
 
 /// How all roll-outs stand, and what is known of the versions before, for a VM that starts; none where this VM does not know
 /// it itself.
-pub(super) fn told_rollouts(
+pub(super) fn reported_rollouts(
     cx: &PublishedContext,
     now: SystemTime,
 ) -> Option<Vec<(ReportedRollout, Vec<RouteEvidence>)>> {
@@ -94,7 +94,7 @@
 }
 
 /// Takes how all roll-outs stand from another VM, and what it knows of the versions before.
-pub(super) fn take_told(cx: &PublishedContext, told: impl Iterator<Item = (ReportedRollout, Vec<RouteEvidence>)>) {
+pub(super) fn merge_rollouts(cx: &PublishedContext, told: impl Iterator<Item = (ReportedRollout, Vec<RouteEvidence>)>) {
     let mut rollouts = cx.shared.rollouts();
     for (ReportedRollout { status, .. }, usual) in told {
         rollouts.merge_baseline(&status.service, &status.version, usual);
@@ -143,7 +143,7 @@
 
 struct RolloutState {
     cx: PublishedContext,
-    book: Box<dyn StatusBook>,
+    book: Box<dyn RolloutStore>,
     /// When this VM writes, by service, unless another one did.
     due: HashMap<ServiceId, (RolloutOutcome, SystemTime)>,
     read_at: Option<SystemTime>,
@@ -161,7 +161,7 @@
 impl Actor for RolloutActor {
     type Msg = Look;
     type State = RolloutState;
-    type Arguments = (PublishedContext, Box<dyn StatusBook>);
+    type Arguments = (PublishedContext, Box<dyn RolloutStore>);
 
     async fn pre_start(
         &self,
@@ -287,12 +287,12 @@
     /// Reads what is kept of versions that were replaced, where no other VM told it.
     async fn read_kept(&mut self) {
         self.has_read_kept = true;
-        let kept = match self.book.kept().await {
+        let kept = match self.book.read_replaced_versions().await {
             Ok(kept) => kept,
             Err(error) => return log::warn!("what is kept of earlier versions was not read: {error}"),
         };
-        for KnownVersion { service, replaced_by, text } in kept {
-            match inflate(&text) {
+        for ReplacedVersion { service, replaced_by, text } in kept {
+            match inflate_json(&text) {
                 Ok(usual) => {
                     log::info!(service = service.as_str(), replaced_by = replaced_by.as_str(); "earlier version known");
                     self.cx.shared.rollouts().merge_baseline(&service, &replaced_by, usual);
@@ -305,9 +305,9 @@
     /// Keeps what is known of the version that is about to go, since starts need it to judge the new one.
     async fn keep(&mut self, status: &RolloutStatus) -> Result<(), StoreError> {
         let usual = self.cx.shared.rollouts().baseline(&status.service, &status.version);
-        let text = deflate(&usual).or_else(|error| NotDoneSnafu { reason: error.to_string() }.fail())?;
-        let known = KnownVersion { service: status.service.clone(), replaced_by: status.version.clone(), text };
-        self.book.keep(&known).await
+        let text = deflate_json(&usual).or_else(|error| NotDoneSnafu { reason: error.to_string() }.fail())?;
+        let known = ReplacedVersion { service: status.service.clone(), replaced_by: status.version.clone(), text };
+        self.book.save_replaced_version(&known).await
     }
 
     /// Whether this VM should write now, or leave it to another for some time yet.
--- a/havengrade_router/src/published/roster.rs
+++ b/havengrade_router/src/published/roster.rs
@@ -51,7 +51,7 @@
         tokio::join!(look_on(&cx, &*roster), enter_again(&cx, &*roster, &me));
     };
     cx.closing.run_until_cancelled(known).await;
-    if let Err(error) = roster.leave(&me.vm).await {
+    if let Err(error) = roster.deregister(&me.vm).await {
         log::warn!("this VM stays on the list of VMs after its stop: {error}");
     }
 }
@@ -63,7 +63,7 @@
 
 /// Enters this VM before anything else; tells whether that was done.
 async fn enter_first(roster: &dyn Roster, me: &Peer) -> bool {
-    let entered = roster.enter(me).await;
+    let entered = roster.register(me).await;
     if let Err(error) = &entered {
         log::warn!("this VM is not on the list of VMs yet, others are looked for: {error}");
     }
@@ -71,7 +71,7 @@
 }
 
 async fn enter(cx: &PublishedContext, roster: &dyn Roster, me: &Peer) {
-    while let Err(error) = roster.enter(me).await {
+    while let Err(error) = roster.register(me).await {
         let waited = cx.shared.running_for(cx.shared.clock.now());
         let pause = retry_delay(waited, &mut *cx.shared.rng());
         log::warn!("this VM is not on the list of VMs yet, {} ms until the next try: {error}", pause.as_millis());
@@ -97,7 +97,7 @@
         let known: HashSet<SocketAddr> = addresses(cx).into_iter().collect();
         // Those that read the store look at the kept list itself; what they learn the others ask for.
         let knows_all = cx.shared.peers().is_list_loaded() && !known.is_empty();
-        if !cx.hands_news_on || cx.shared.store.is_reader() || !knows_all {
+        if !cx.uses_state_transfer || cx.shared.store.is_reader() || !knows_all {
             if let Err(error) = read_list(cx, roster).await {
                 log::warn!("the list of VMs could not be read: {error}");
             }
--- a/havengrade_router/src/published/program.rs
+++ b/havengrade_router/src/published/router.rs
@@ -29,7 +29,7 @@
         hand_on::serve_state,
         peers::PeersService,
         ports::Ports,
-        quarantine::keep_list,
+        quarantine::sync_quarantine_list,
         rollouts::RolloutService,
         roster::keep_roster,
         server::{metrics_page, readiness, serve_callers, serve_page},
@@ -61,16 +61,16 @@
     ///
     /// [`StartError`] where a port can't be opened or a service does not start.
     pub async fn start(settings: Settings, parts: Parts, ports: Ports, traffic: &Handle) -> Result<Self, StartError> {
-        let Ports { dialect, operators, endpoints, statuses, quarantine, roster, hands_news_on } = ports;
+        let Ports { dialect, operators, endpoints, statuses, quarantine, roster, uses_state_transfer } = ports;
         let shared = Published::new(settings, parts.clock, dialect, parts.network.clone(), parts.seed);
         let cx = PublishedContext {
             shared: Arc::new(shared),
             network: parts.network,
-            quarantine_book: quarantine,
+            quarantine_list: quarantine,
             end: CancellationToken::new(),
             closing: CancellationToken::new(),
             connections: TaskTracker::new(),
-            hands_news_on,
+            uses_state_transfer,
             number: ROUTERS.fetch_add(1, Ordering::Relaxed),
         };
         let settings = &cx.shared.settings;
@@ -86,9 +86,9 @@
         ];
         let kernel = Kernel::start(services, &cx).await?;
         cx.connections.spawn(cx.end.clone().run_until_cancelled_owned(keep_roster(cx.clone(), roster)));
-        cx.connections.spawn(cx.end.clone().run_until_cancelled_owned(keep_list(cx.clone())));
+        cx.connections.spawn(cx.end.clone().run_until_cancelled_owned(sync_quarantine_list(cx.clone())));
         let mut servers = Vec::new();
-        if hands_news_on {
+        if uses_state_transfer {
             let state = bind(&cx, "listen.peers", cx.shared.settings.listen.peers).await?;
             servers.push(AbortOnDropHandle::new(tokio::spawn(serve_state(cx.clone(), state))));
         }
--- a/havengrade_router/src/published/signals.rs
+++ b/havengrade_router/src/published/signals.rs
@@ -8,7 +8,7 @@
 };
 use hyper::StatusCode;
 
-use crate::published::{context::PublishedContext, job::Job, ports::EndpointHead};
+use crate::published::{context::PublishedContext, job::Job, ports::AnswerHead};
 
 /// Who told what is noted.
 const OWN_ANSWER: &str = "answer";
@@ -20,7 +20,7 @@
     job: &Job,
     endpoint: &ListedEndpoint,
     status: StatusCode,
-    facts: &EndpointHead,
+    facts: &AnswerHead,
 ) {
     if status == StatusCode::MISDIRECTED_REQUEST {
         return;
@@ -31,7 +31,7 @@
         slot.report(load.running + load.waiting, slot.in_flight());
     }
     let is_answer = facts.request.as_ref() == Some(&job.id);
-    let is_whole = is_answer && facts.is_proven && status.is_success();
+    let is_whole = is_answer && facts.is_authentic && status.is_success();
     let Signal { limit_per_s, is_leaving, .. } = facts.signal;
     let now = cx.shared.clock.now();
     let changes = cx.shared.send_limits().record_signal(endpoint, facts.signal, is_whole, now);
--- a/havengrade_router/src/published/starting.rs
+++ b/havengrade_router/src/published/starting.rs
@@ -31,7 +31,7 @@
 
 /// Waits until another VM is heard, or the list of VMs is read; whoever reads it greets the others.
 pub(super) async fn find_others(cx: &PublishedContext, roster: &dyn Roster) {
-    if !cx.hands_news_on {
+    if !cx.uses_state_transfer {
         // What is followed costs nothing, and nobody hands it on.
         follow::begin(cx);
     }
@@ -109,7 +109,7 @@
 
 /// Asks some others at the same time; tells whether one of them told everything.
 async fn ask_round(cx: &PublishedContext, round: usize) -> bool {
-    if !cx.hands_news_on {
+    if !cx.uses_state_transfer {
         return false;
     }
     let asked: Vec<SocketAddr> = starting(cx, |starting| starting.peers_to_ask(round, &mut *cx.shared.rng()));
--- a/havengrade_router/src/published/parts.rs
+++ b/havengrade_router/src/published/state_parts.rs
@@ -35,46 +35,46 @@
 pub(super) type VmsPart = Vec<(Peer, Duration)>;
 
 /// The text of what operators wrote up to a position.
-pub(super) fn operators_text(cx: &PublishedContext, position: u64) -> io::Result<Bytes> {
+pub(super) fn encode_operators_part(cx: &PublishedContext, position: u64) -> io::Result<Bytes> {
     let mut written = lock(&cx.shared.written);
     once(&mut written.operators, position, || {
         let orders = cx.shared.rollouts().orders().cloned().collect();
         let domains = cx.shared.emptied.load().snapshot();
-        deflate(&OperatorsPart { publication: cx.shared.routes.load().publication().clone(), orders, domains })
+        deflate_json(&OperatorsPart { publication: cx.shared.routes.load().publication().clone(), orders, domains })
     })
 }
 
 /// The text of the whole list of endpoints at a revision.
-pub(super) fn endpoints_text(cx: &PublishedContext, revision: u64) -> io::Result<Bytes> {
+pub(super) fn encode_endpoints_part(cx: &PublishedContext, revision: u64) -> io::Result<Bytes> {
     let (listed, is_restoring) = {
         let view = cx.shared.store.view();
         (view.listed.clone(), view.is_restoring)
     };
     let event = if is_restoring { DirectoryEvent::Restored } else { DirectoryEvent::All };
     let mut written = lock(&cx.shared.written);
-    once(&mut written.endpoints, revision, || deflate(&vec![event(listed.to_vec())]))
+    once(&mut written.endpoints, revision, || deflate_json(&vec![event(listed.to_vec())]))
 }
 
 /// The text of the VMs that are known.
-pub(super) fn vms_text(cx: &PublishedContext) -> io::Result<Bytes> {
+pub(super) fn encode_vms_part(cx: &PublishedContext) -> io::Result<Bytes> {
     let now = cx.shared.clock.now();
     let (revision, told) = {
         let peers = cx.shared.peers();
         (peers.revision(), peers.known_peers(now))
     };
     let mut written = lock(&cx.shared.written);
-    once(&mut written.vms, revision, || deflate(&told))
+    once(&mut written.vms, revision, || deflate_json(&told))
 }
 
 /// Writes a part.
-pub(super) fn deflate<T: Serialize>(part: &T) -> io::Result<Bytes> {
+pub(super) fn deflate_json<T: Serialize>(part: &T) -> io::Result<Bytes> {
     let mut deflated = DeflateEncoder::new(Vec::new(), Compression::fast());
     deflated.write_all(&serde_json::to_vec(part)?)?;
     deflated.finish().map(Bytes::from)
 }
 
 /// Reads a part.
-pub(super) fn inflate<T: DeserializeOwned>(deflated: &[u8]) -> Result<T, serde_json::Error> {
+pub(super) fn inflate_json<T: DeserializeOwned>(deflated: &[u8]) -> Result<T, serde_json::Error> {
     let mut text = Vec::new();
     let read = DeflateDecoder::new(deflated).take(MAX_INFLATED).read_to_end(&mut text);
     read.map_err(serde_json::Error::io)?;
--- a/havengrade_router/src/published/store_view.rs
+++ b/havengrade_router/src/published/store_view.rs
@@ -214,6 +214,6 @@
         to_i64(view.endpoints.position()),
         age(view.endpoints_at),
         changes,
-        cx.hands_news_on.then(|| cx.shared.settings.listen.peers.to_string()),
+        cx.uses_state_transfer.then(|| cx.shared.settings.listen.peers.to_string()),
     ))
 }
--- a/havengrade_router/src/published/take.rs
+++ b/havengrade_router/src/published/take.rs
@@ -28,12 +28,12 @@
         context::PublishedContext,
         follow::{ENDPOINTS, FollowMessage, OPERATORS, Relayed, find, send},
         hand_on::{FRAME_LIMIT, MAX_FRAME},
-        parts::{EndpointsPart, OperatorsPart, VmsPart, inflate},
         ports::OperatorEvent,
-        quarantine::tell,
-        rollouts::take_told,
+        quarantine::apply_changes,
+        rollouts::merge_rollouts,
         signals::hear as hear_signals,
-        wire::{decode_quarantine, decode_rollout, decode_signals, decode_usual, from_i64, to_i64},
+        state_parts::{EndpointsPart, OperatorsPart, VmsPart, inflate_json},
+        wire::{decode_baseline, decode_quarantine, decode_rollout, decode_signals, from_i64, to_i64},
     },
     shared::lock,
 };
@@ -241,7 +241,7 @@
     while (text.len() as u64) < bytes {
         text.unsplit(next(frames).await?);
     }
-    inflate(&text).map(Some).context(TextSnafu)
+    inflate_json(&text).map(Some).context(TextSnafu)
 }
 
 /// Hands what was taken to the services that follow the store.
@@ -271,10 +271,10 @@
     // Before the orders, so that one that has ended is not taken up again.
     if let Some(rollouts) = head.rollouts {
         let told = rollouts.into_iter().filter_map(|state| {
-            let usual = decode_usual(&state);
+            let usual = decode_baseline(&state);
             Some((decode_rollout(state)?, usual))
         });
-        take_told(cx, told);
+        merge_rollouts(cx, told);
     }
     cx.shared.was_handed.store(true, Ordering::Release);
     if let Some(quarantine) = head.quarantine {
@@ -284,7 +284,7 @@
             known.set_loaded();
             known.merge_report(decode_quarantine(quarantine), now)
         };
-        tell(cx, &changes);
+        apply_changes(cx, &changes);
     }
     // Before the list of endpoints, so that nothing is sent where it is known not to be wanted.
     hear_signals(cx, decode_signals(head.signals.unwrap_or_default()), cx.shared.clock.now());
--- a/havengrade_router/src/published/takers.rs
+++ b/havengrade_router/src/published/takers.rs
@@ -84,7 +84,7 @@
     }
     if is_old {
         cx.shared.rollouts().set_has_earlier_orders();
-        rollouts::hurry(cx);
+        rollouts::evaluate_soon(cx);
     }
 }
 
--- a/havengrade_router/src/published/tries.rs
+++ b/havengrade_router/src/published/tries.rs
@@ -14,12 +14,12 @@
         choose::{Chosen, work_at},
         context::PublishedContext,
         job::Job,
-        ports::EndpointHead,
-        quarantine::note_break,
+        ports::AnswerHead,
+        quarantine::record_broken_attempt,
         rewrite::encode,
         signals,
     },
-    quarantine::name,
+    quarantine::format_fingerprint,
 };
 
 /// Time for which a kept connection may have rested before a request that must not be repeated; a longer
@@ -119,7 +119,7 @@
     job: &Job,
     endpoint: &ListedEndpoint,
     status: StatusCode,
-    facts: &EndpointHead,
+    facts: &AnswerHead,
 ) -> Result<(), RunState> {
     let is_other = facts.request.as_ref().is_some_and(|id| *id != job.id);
     if is_other {
@@ -138,7 +138,7 @@
         }
         return Err(RunState::NotRun);
     }
-    if !facts.is_proven {
+    if !facts.is_authentic {
         log_try(job, endpoint, "the answer has no id or no signature");
         note_broken(cx, job, endpoint);
         return Err(RunState::MayHaveRun);
@@ -149,7 +149,7 @@
 /// Whether an endpoint that turned a request away has room for it, by its own word or as far as is known.
 ///
 /// One that is full looks full, and takes requests again as soon as some of its own have ended.
-fn looks_free(cx: &PublishedContext, endpoint: &ListedEndpoint, facts: &EndpointHead) -> bool {
+fn looks_free(cx: &PublishedContext, endpoint: &ListedEndpoint, facts: &AnswerHead) -> bool {
     let told = facts.load.map(|load| load.running + load.waiting);
     let requests = told.unwrap_or_else(|| work_at(cx, endpoint).requests);
     requests < endpoint.slots
@@ -169,7 +169,7 @@
         note_broken(cx, job, endpoint);
     }
     if state == RunState::MayHaveRun {
-        note_break(cx, job, endpoint, begun);
+        record_broken_attempt(cx, job, endpoint, begun);
     }
     // One refused connection says more than a failed answer does.
     fail_after(cx, endpoint, if state == RunState::NotSent { 1 } else { EJECT_AFTER });
@@ -199,7 +199,7 @@
         request = job.id.as_str(),
         endpoint = endpoint.id.as_str(),
         version = endpoint.version.as_str(),
-        mark = name(job.mark()).as_str(),
+        mark = format_fingerprint(job.mark()).as_str(),
         tries = job.tried.len();
         "try failed: {outcome}"
     );
--- a/havengrade_router/src/published/wire.rs
+++ b/havengrade_router/src/published/wire.rs
@@ -310,7 +310,7 @@
 }
 
 /// Reads what is known of the version before a roll-out.
-pub(super) fn decode_usual(state: &RolloutState) -> Vec<RouteEvidence> {
+pub(super) fn decode_baseline(state: &RolloutState) -> Vec<RouteEvidence> {
     state.usual.iter().flatten().cloned().map(decode_evidence).collect()
 }
 
--- a/havengrade_router/src/router.rs
+++ b/havengrade_router/src/router.rs
@@ -26,7 +26,7 @@
     kernel::{BindSnafu, Context, Kernel, Service, StartError, service},
     net::Network,
     platform::{HttpLogService, HttpRating, HttpVmList, LogService, Rating, VmList},
-    published::{configured, program::PublishedRouter},
+    published::{config_ports, router::PublishedRouter},
     services::{
         bills::{self, BillsActor, BillsMessage},
         config::{self, ConfigActor},
@@ -86,7 +86,7 @@
         let published = match cx.shared.settings.published.callers {
             Some(_) => {
                 let settings = Settings::clone(&cx.shared.settings);
-                Some(PublishedRouter::start(settings, published_parts, configured::ports(&cx), traffic).await?)
+                Some(PublishedRouter::start(settings, published_parts, config_ports::ports(&cx), traffic).await?)
             },
             None => None,
         };
--- a/havengrade_router/src/traffic/quarantine.rs
+++ b/havengrade_router/src/traffic/quarantine.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     kernel::Context,
-    quarantine::{Presence, log_changes, log_look, look},
+    quarantine::{ProbeResult, log_changes, log_probe, probe},
     traffic::{Problem, request::Job},
 };
 
@@ -103,13 +103,13 @@
 /// Looks whether an endpoint where a try broke has ended. One that says nothing may be cut off from this VM, and is not counted.
 async fn look_at(cx: &Context, endpoint: &str, address: SocketAddr) {
     let limit = Duration::from_millis(cx.shared.settings.endpoints.connect_timeout_ms);
-    let (found, _) = look(&*cx.network, address, limit).await;
-    log_look(endpoint, found);
+    let (found, _) = probe(&*cx.network, address, limit).await;
+    log_probe(endpoint, found);
     let now = cx.shared.clock.now();
     match found {
-        Presence::Answers => cx.shared.quarantine().record_endpoint_alive(endpoint),
-        Presence::Refuses => cx.shared.quarantine().record_endpoint_exit(endpoint, now),
-        Presence::Silent => {},
+        ProbeResult::Answers => cx.shared.quarantine().record_endpoint_alive(endpoint),
+        ProbeResult::Refuses => cx.shared.quarantine().record_endpoint_exit(endpoint, now),
+        ProbeResult::Silent => {},
     }
     judge(cx, now);
 }
