--- a/havengrade_router/src/published/ports.rs
+++ b/havengrade_router/src/published/ports.rs
@@ -1,4 +1,4 @@
-//! The borders of published routes: what an adapter of a deployment provides.
+//! Interfaces of published routes that a deployment's adapter implements.
 
 use std::{
     sync::Arc,
@@ -24,298 +24,304 @@
 use hyper::{HeaderMap, StatusCode};
 use snafu::Snafu;
 
-/// A part of a prompt, which other prompts may share.
+/// Part of a prompt, which other prompts may share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptPart {
     /// Id of the part's text.
     pub id: String,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// What a request's headers tell the router.
+/// Attributes of a caller's request, decoded from its headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestAttributes {
-    /// Id of this attempt of the caller.
+    /// Id of the caller's attempt.
     pub id: Option<RequestId>,
-    /// Time for which the caller waits.
+    /// Time that the caller waits for an answer.
     pub time_limit: Option<Duration>,
     /// Key of the client account.
     pub key: Option<String>,
     /// Session that the request belongs to.
     pub session: Option<SessionId>,
-    /// Id of the last event that the caller has, where it resumes a stream.
+    /// Id of the last event that the caller received, if it resumes a stream.
     pub last_event: Option<String>,
     /// Whether the router chooses the model.
     pub lets_router_choose_model: bool,
-    /// Parts of the prompt in order; the last one is the request's own.
+    /// Parts of the prompt in order; the last one is specific to this request.
     pub prompt_parts: Vec<PromptPart>,
-    /// Tokens of the prompt and the most that may be generated.
+    /// Length of the prompt and the limit of generated tokens.
     pub tokens: Option<TokenCounts>,
 }
 
-/// Sizes of a generation.
+/// Token counts of a generation request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenCounts {
-    /// Tokens of the prompt.
+    /// Length of the prompt.
     pub prompt: u32,
-    /// Most tokens that may be generated.
+    /// Maximum number of generated tokens.
     pub max_generated: u32,
 }
 
-/// What the router tells an endpoint beside the caller's request.
+/// Attributes that the router adds to a caller's request for the endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardAttributes<'a> {
-    /// The endpoint that is meant; another one at its address must not run the request.
+    /// Endpoint that the request is for; another endpoint at the same address must not run it.
     pub endpoint: &'a str,
-    /// Time that is left for the answer.
+    /// Time left for the answer.
     pub time_left: Duration,
     /// Client account.
     pub account: Option<&'a str>,
     /// Model that the router chose.
     pub model: Option<&'a str>,
-    /// Id of the event after which a stream goes on.
+    /// Id of the event after which a stream resumes.
     pub resume_after: Option<&'a str>,
-    /// Urgency, 0 before 1.
+    /// Priority; 0 is served before 1.
     pub priority: u8,
-    /// Whether the endpoint generates, so that it understands an urgency.
+    /// Whether the request is a generation, for which endpoints support a priority.
     pub is_generation: bool,
 }
 
-/// Load that an endpoint tells in an answer.
+/// Load that an endpoint reports in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: u32,
 }
 
-/// What the head of an endpoint's answer tells the router.
+/// Attributes of an endpoint's answer, decoded from its status and headers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnswerHead {
     /// Whether the request ran.
     pub run: RunState,
-    /// Id of the request that is answered.
+    /// Id of the answered request.
     pub request: Option<RequestId>,
-    /// Whether the answer shows that it is the endpoint's own to this request, as far as its like can.
+    /// Whether the answer carries all the proofs of origin that an answer of its status can carry.
     pub is_authentic: bool,
     /// Load of the endpoint.
     pub load: Option<ReportedLoad>,
-    /// What the endpoint says of itself beside that.
+    /// Send limit, shutdown notice and requested backoff of the endpoint.
     pub signal: Signal,
-    /// The model's opinion of its answer, from 0 to 100.
+    /// The model's confidence in its answer, from 0 to 100.
     pub confidence: Option<u8>,
     /// Time for which the endpoint keeps an idle connection.
     pub keep_alive: Option<Duration>,
 }
 
-/// How requests and answers are written on the wire.
+/// Encoding of request and answer attributes in HTTP headers.
 pub trait Dialect: Send + Sync {
-    /// Reads what a request's headers tell the router.
+    /// Decodes the attributes of a caller's request.
     fn decode_request(&self, headers: &HeaderMap) -> RequestAttributes;
 
-    /// Replaces what callers may not set, and adds the order.
-    fn encode_request(&self, headers: &mut HeaderMap, order: &ForwardAttributes<'_>);
+    /// Adds the router's attributes, and replaces headers that callers may not set.
+    fn encode_request(&self, headers: &mut HeaderMap, attributes: &ForwardAttributes<'_>);
 
-    /// Reads the head of an endpoint's answer.
+    /// Decodes the status and headers of an endpoint's answer.
     fn decode_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
 
-    /// Takes out of an answer what is meant for the router only.
+    /// Removes headers that are meant for the router only from an answer.
     fn strip_answer(&self, headers: &mut HeaderMap);
 }
 
-/// Why a store did not do what it was asked for.
+/// Failure of a store operation.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum StoreError {
-    /// Nothing was done.
-    #[snafu(display("the store did nothing: {reason}"))]
+    /// The operation was not performed.
+    #[snafu(display("the store did not perform the operation: {reason}"))]
     NotDone {
-        /// What is known of the cause.
+        /// Cause as far as it is known.
         reason: String,
     },
-    /// It may have been done, or may still be.
-    #[snafu(display("the store may have done it: {reason}"))]
+    /// The operation may have been performed, or may still be.
+    #[snafu(display("the store may have performed the operation: {reason}"))]
     Unknown {
-        /// What is known of the cause.
+        /// Cause as far as it is known.
         reason: String,
     },
-    /// The store answered with something that can't be read.
-    #[snafu(display("the store's answer can't be read: {reason}"))]
+    /// The store's answer is malformed.
+    #[snafu(display("the store's answer is malformed: {reason}"))]
     Unreadable {
-        /// What is wrong.
+        /// Description of the fault.
         reason: String,
     },
 }
 
-/// What operators write.
+/// Change that operators make.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorEvent {
-    /// A whole configuration.
+    /// Complete configuration.
     Publication(Publication),
-    /// An order to shift a service to a new version.
+    /// Order to roll a service out to a new version.
     Rollout(RolloutOrder),
-    /// What is to get nothing, or no longer nothing.
+    /// Failure domains that are emptied or taken back into use.
     Domains(DomainEvent),
 }
 
-/// Records that are followed; each call gives what is new since the one before.
+/// Feed of records; each read returns the records since the previous one.
 ///
-/// The first call, and one after records were missed, gives the newest of everything.
+/// The first read, and one after a gap, returns the newest record of each key.
 #[async_trait]
 pub trait Feed<T>: Send + Sync {
-    /// Waits up to `wait` for something new.
+    /// Waits up to `wait` for new records.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] where the store could not be read; the next call tries again.
+    /// [`StoreError`] if the store could not be read; the next call tries again.
     async fn next(&mut self, wait: Duration) -> Result<Vec<T>, StoreError>;
 
-    /// Position in the store up to which everything was given; none before the first call.
+    /// Returns the position in the store up to which all records were returned; `None` before the first read.
     fn position(&self) -> Option<u64>;
 
-    /// When what the last call gave was the newest for sure, where the call began at `asked`; none where a store may miss what it
-    /// held before, and it is written again by and by.
+    /// Returns the time at which the last read is confirmed to be complete, for a read that began at `asked`.
+    ///
+    /// `None` while a restored store may still lack records that their writers have yet to rewrite.
     fn confirmed_at(&self, asked: SystemTime) -> Option<SystemTime> {
         Some(asked)
     }
 
-    /// Goes on from a position, if that is later, since what lies before it was learned from another VM.
+    /// Skips forward to a position, because another VM transferred the state up to it; ignores an earlier position.
     fn advance(&mut self, position: u64);
 }
 
-/// What became of a conditional write.
+/// Result of a conditional write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It is written.
+    /// The record is written.
     Written,
-    /// Something else was written first; it must be read before another try.
+    /// Another record was written first; it must be read before the next attempt.
     Conflict,
 }
 
-/// The store's record of how roll-outs stand.
+/// Store of roll-out statuses and baselines.
 #[async_trait]
 pub trait RolloutStore: Send + Sync {
-    /// Reads the states that were written since the last call; the first gives all.
+    /// Reads the statuses written since the last call; the first call returns all of them.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] where the store could not be read.
+    /// [`StoreError`] if the store could not be read.
     async fn read(&mut self) -> Result<Vec<RolloutStatus>, StoreError>;
 
-    /// Reads the newest state of each service, also those that were read before.
+    /// Reads the newest status of each service, including those that were read before.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] where the store could not be read.
+    /// [`StoreError`] if the store could not be read.
     async fn read_all(&mut self) -> Result<Vec<RolloutStatus>, StoreError>;
 
-    /// Writes a state if nothing was written since the last read.
+    /// Writes a status unless another one was written since the last read.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] where it was not written, or may have been.
+    /// [`StoreError`] if the status was not written, or it is unknown whether it was.
     async fn write(&mut self, status: &RolloutStatus) -> Result<WriteOutcome, StoreError>;
 
-    /// Keeps what is known of a version that a roll-out replaces, in place of what was kept for its service.
+    /// Saves the baseline of a roll-out, overwriting the entry of its service.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] where it was not kept, or may not have been.
-    async fn save_replaced_version(&mut self, known: &ReplacedVersion) -> Result<(), StoreError>;
+    /// [`StoreError`] if the entry was not saved, or it is unknown whether it was.
+    async fn save_replaced_version(&mut self, replaced: &ReplacedVersion) -> Result<(), StoreError>;
 
-    /// Reads what is kept of versions that were replaced.
+    /// Reads the saved baselines.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] where the store could not be read.
+    /// [`StoreError`] if the store could not be read.
     async fn read_replaced_versions(&mut self) -> Result<Vec<ReplacedVersion>, StoreError>;
 }
 
-/// What is known of a version that a roll-out replaces.
+/// Baseline of a roll-out: the evidence on the version that it replaces.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplacedVersion {
-    /// The service.
+    /// Service of the roll-out.
     pub service: ServiceId,
-    /// The version that replaces it.
+    /// Version that replaces it.
     pub replaced_by: SoftwareVersion,
-    /// What was seen of it, in the router's own words: a store keeps it as it is.
-    pub text: Bytes,
+    /// Evidence in the router's own encoding; a store returns it unchanged.
+    pub baseline: Bytes,
 }
 
-/// The kept list of requests that are held back, since they crash the endpoints that run them.
+/// Stored list of quarantined requests, which crash the endpoints that run them.
 #[async_trait]
 pub trait QuarantineList: Send + Sync {
-    /// All that are on the list.
+    /// Reads all entries.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] where the list could not be read.
+    /// [`StoreError`] if the list could not be read.
     async fn read(&self) -> Result<Vec<QuarantineEntry>, StoreError>;
 
-    /// Enters a request, unless it is on the list.
+    /// Adds an entry unless its request is on the list.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] where it was not entered, or may not have been.
-    async fn add(&self, hold: &QuarantineEntry) -> Result<(), StoreError>;
+    /// [`StoreError`] if the entry was not added, or it is unknown whether it was.
+    async fn add(&self, entry: &QuarantineEntry) -> Result<(), StoreError>;
 
-    /// Takes a request off the list, since it is free.
+    /// Removes the entry of a request that is no longer quarantined.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] where it was not taken off, or may not have been.
-    async fn release(&self, mark: RequestFingerprint) -> Result<(), StoreError>;
+    /// [`StoreError`] if the entry was not removed, or it is unknown whether it was.
+    async fn release(&self, fingerprint: RequestFingerprint) -> Result<(), StoreError>;
 
-    /// Claims the next trial of a request for this VM, by [`havengrade_core::quarantine::next_trial`]; gives the entry that was written, unless another VM was first.
+    /// Claims the next trial of a request for this VM, as [`havengrade_core::quarantine::next_trial`] permits.
+    ///
+    /// Returns the written entry, or `None` if another VM claimed the trial first.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] where it was not claimed, or may not have been.
-    async fn claim_trial(&self, hold: &QuarantineEntry, now: SystemTime)
-    -> Result<Option<QuarantineEntry>, StoreError>;
+    /// [`StoreError`] if the trial was not claimed, or it is unknown whether it was.
+    async fn claim_trial(
+        &self,
+        entry: &QuarantineEntry,
+        now: SystemTime,
+    ) -> Result<Option<QuarantineEntry>, StoreError>;
 }
 
-/// The kept list of the VMs that serve published routes.
+/// Stored list of the VMs that serve published routes.
 #[async_trait]
 pub trait Roster: Send + Sync {
-    /// Enters a VM, in place of an earlier run of it.
+    /// Registers a VM, replacing the entry of an earlier run.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] where it was not entered, or may not have been.
+    /// [`StoreError`] if the VM was not registered, or it is unknown whether it was.
     async fn register(&self, peer: &Peer) -> Result<(), StoreError>;
 
-    /// Takes a VM out that stops.
+    /// Removes a VM that stops.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] where it was not taken out, or may not have been.
+    /// [`StoreError`] if the VM was not removed, or it is unknown whether it was.
     async fn deregister(&self, vm: &str) -> Result<(), StoreError>;
 
-    /// All VMs on the list; some may be gone.
+    /// Reads all VMs on the list; some may no longer run.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] where the list could not be read.
+    /// [`StoreError`] if the list could not be read.
     async fn read(&self) -> Result<Vec<Peer>, StoreError>;
 }
 
-/// All that an adapter provides.
+/// Implementations that an adapter provides.
 pub struct Ports {
-    /// How requests and answers are written.
+    /// Header encoding of requests and answers.
     pub dialect: Box<dyn Dialect>,
-    /// What operators write.
+    /// Feed of operators' changes.
     pub operators: Box<dyn Feed<OperatorEvent>>,
-    /// The list of endpoints.
+    /// Feed of the endpoint list.
     pub endpoints: Box<dyn Feed<DirectoryEvent>>,
-    /// States of roll-outs.
+    /// Store of roll-out statuses.
     pub statuses: Box<dyn RolloutStore>,
-    /// Requests that are held back.
+    /// List of quarantined requests.
     pub quarantine: Arc<dyn QuarantineList>,
-    /// The VMs that serve published routes.
+    /// List of the VMs that serve published routes.
     pub roster: Box<dyn Roster>,
-    /// Whether VMs take what operators wrote from each other, since reading it has its price.
+    /// Whether VMs transfer the active state to each other, because reading it from the store is expensive.
     pub uses_state_transfer: bool,
 }
--- a/havengrade_router/src/published/rollouts.rs
+++ b/havengrade_router/src/published/rollouts.rs
@@ -1,4 +1,4 @@
-//! The service that judges roll-outs and writes how they stand.
+//! Service that evaluates roll-outs and writes their statuses to the store.
 
 use std::{
     collections::HashMap,
@@ -34,25 +34,25 @@
 /// Name of the service.
 pub const NAME: &str = "published-rollouts";
 
-/// Time between two looks at the roll-outs.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// Time between two reads of what other VMs wrote, while a roll-out is under way.
-const READ_EVERY: Duration = Duration::from_millis(1000);
-/// Time between two lines on what the judgement of a roll-out rests on, while nothing else changes.
-const GROUNDS_EVERY: Duration = Duration::from_millis(2000);
-/// Most time that a VM leaves to others for writing that an order was taken up.
-const TAKE_UP_SPREAD_MS: u64 = 3000;
-/// Most time that a VM leaves to others for writing how a roll-out ended.
-const END_SPREAD_MS: u64 = 100;
+/// Interval between two evaluations of the roll-outs.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between two reads of the statuses that other VMs wrote, while a roll-out is in progress.
+const READ_INTERVAL: Duration = Duration::from_millis(1000);
+/// Interval between two log lines on the evidence of a roll-out whose phase does not change.
+const EVIDENCE_LOG_INTERVAL: Duration = Duration::from_millis(2000);
+/// Longest random delay before a VM writes that a roll-out has started; usually another VM has written it by then.
+const START_WRITE_SPREAD_MS: u64 = 3000;
+/// Longest random delay before a VM writes how a roll-out ended; usually another VM has written it by then.
+const END_WRITE_SPREAD_MS: u64 = 100;
 
-/// The service, until it is started.
+/// Service that is not started yet.
 pub(super) struct RolloutService {
-    book: Mutex<Option<Box<dyn RolloutStore>>>,
+    store: Mutex<Option<Box<dyn RolloutStore>>>,
 }
 
 impl RolloutService {
-    pub(super) fn new(book: Box<dyn RolloutStore>) -> Self {
-        Self { book: Mutex::new(Some(book)) }
+    pub(super) fn new(store: Box<dyn RolloutStore>) -> Self {
+        Self { store: Mutex::new(Some(store)) }
     }
 }
 
@@ -63,79 +63,81 @@
     }
 
     async fn start(&self, cx: &PublishedContext) -> Result<ActorCell, StartError> {
-        let Some(book) = lock(&self.book).take() else { return Err(StartError::Missing { name: NAME }) };
-        spawn(NAME, cx, RolloutActor, (cx.clone(), book)).await
+        let Some(store) = lock(&self.store).take() else { return Err(StartError::Missing { name: NAME }) };
+        spawn(NAME, cx, RolloutActor, (cx.clone(), store)).await
     }
 }
 
 struct RolloutActor;
 
-/// Time to look.
-struct Look;
+/// Message that triggers an evaluation.
+struct Evaluate;
 
-/// Makes the service look at once.
+/// Triggers an evaluation without waiting for the next interval.
 pub(super) fn evaluate_soon(cx: &PublishedContext) {
-    let service = ractor::registry::where_is(cx.actor_name(NAME)).map(ActorRef::<Look>::from);
-    if let Some(Err(error)) = service.map(|service| service.cast(Look)) {
-        log::debug!("the service of roll-outs is gone: {error}");
+    let service = ractor::registry::where_is(cx.actor_name(NAME)).map(ActorRef::<Evaluate>::from);
+    if let Some(Err(error)) = service.map(|service| service.cast(Evaluate)) {
+        log::debug!("the roll-out service has stopped: {error}");
     }
 }
 
-/// How all roll-outs stand, and what is known of the versions before, for a VM that starts; none where this VM does not know
-/// it itself.
+/// Returns the statuses and baselines of all roll-outs for a VM that starts, or `None` if this VM lacks some itself.
 pub(super) fn reported_rollouts(
     cx: &PublishedContext,
     now: SystemTime,
 ) -> Option<Vec<(ReportedRollout, Vec<RouteEvidence>)>> {
     let rollouts = cx.shared.rollouts();
-    let usual = |status: &RolloutStatus| rollouts.baseline(&status.service, &status.version);
-    let told = rollouts.statuses().map(|status| (rollouts.reported_rollout(status, now), usual(status)));
-    (!rollouts.needs_statuses()).then(|| told.collect())
+    let baseline = |status: &RolloutStatus| rollouts.baseline(&status.service, &status.version);
+    let reported = rollouts.statuses().map(|status| (rollouts.reported_rollout(status, now), baseline(status)));
+    (!rollouts.needs_statuses()).then(|| reported.collect())
 }
 
-/// Takes how all roll-outs stand from another VM, and what it knows of the versions before.
-pub(super) fn merge_rollouts(cx: &PublishedContext, told: impl Iterator<Item = (ReportedRollout, Vec<RouteEvidence>)>) {
+/// Merges the statuses and baselines of all roll-outs that another VM transferred.
+pub(super) fn merge_rollouts(
+    cx: &PublishedContext,
+    reported: impl Iterator<Item = (ReportedRollout, Vec<RouteEvidence>)>,
+) {
     let mut rollouts = cx.shared.rollouts();
-    for (ReportedRollout { status, .. }, usual) in told {
-        rollouts.merge_baseline(&status.service, &status.version, usual);
+    for (ReportedRollout { status, .. }, baseline) in reported {
+        rollouts.merge_baseline(&status.service, &status.version, baseline);
         let line = format!("{} to {}: {:?}", status.service, status.version, status.outcome);
         if !rollouts.is_settled(&status) && rollouts.record_status(status) {
-            log::info!(state = line.as_str(); "state of a roll-out taken from another VM");
+            log::info!(state = line.as_str(); "roll-out status received from another VM");
         }
     }
     rollouts.set_statuses_read();
 }
 
-/// Tells that a version is to get nothing more, by this VM's own judgement.
-fn log_halt(told: &ReportedHalt) {
-    metrics::counter!("rollouts_halted", "service" => told.service.clone()).increment(1);
+/// Logs and counts the halt of a version by this VM's own evaluation.
+fn log_halt(halt: &ReportedHalt) {
+    metrics::counter!("rollouts_halted", "service" => halt.service.clone()).increment(1);
     log::warn!(
-        service = told.service.as_str(),
-        version = told.version.as_str(),
-        reason = told.reason.description();
+        service = halt.service.as_str(),
+        version = halt.version.as_str(),
+        reason = halt.reason.description();
         "a version gets no more requests"
     );
 }
 
-fn log_grounds(grounds: &EvidenceSummary) {
-    metrics::gauge!("rollout_odds", "service" => grounds.service.clone()).set(grounds.log_odds);
+fn log_summary(summary: &EvidenceSummary) {
+    metrics::gauge!("rollout_odds", "service" => summary.service.clone()).set(summary.log_odds);
     log::info!(
-        service = grounds.service.as_str(),
-        version = grounds.version.as_str(),
-        phase = grounds.phase,
-        age_ms = grounds.age.as_millis() as u64,
-        odds = format!("{:.1}", grounds.log_odds).as_str(),
-        turn = format!("{:.1}", grounds.degradation_log_odds).as_str(),
-        writers = grounds.writers,
-        new = counted(&grounds.new).as_str(),
-        old = counted(&grounds.old).as_str();
-        "roll-out judged"
+        service = summary.service.as_str(),
+        version = summary.version.as_str(),
+        phase = summary.phase,
+        age_ms = summary.age.as_millis() as u64,
+        odds = format!("{:.1}", summary.log_odds).as_str(),
+        turn = format!("{:.1}", summary.degradation_log_odds).as_str(),
+        writers = summary.writers,
+        new = format_counts(&summary.new).as_str(),
+        old = format_counts(&summary.old).as_str();
+        "roll-out evaluated"
     );
 }
 
-/// What was counted for a version: of how many tries how many failed, and of how many times how many were slow.
-fn counted(counted: &VersionCounts) -> String {
-    let VersionCounts { ended, failed, errors, first_byte_times, slow_first_bytes, event_times, slow_events } = counted;
+/// Formats the counts of a version: failed attempts of all, errors, and slow times of all that were measured.
+fn format_counts(counts: &VersionCounts) -> String {
+    let VersionCounts { ended, failed, errors, first_byte_times, slow_first_bytes, event_times, slow_events } = counts;
     format!(
         "{failed}/{ended} failed, {errors} errors, {slow_first_bytes}/{first_byte_times} slow, {slow_events}/{event_times} dragging"
     )
@@ -143,140 +145,140 @@
 
 struct RolloutState {
     cx: PublishedContext,
-    book: Box<dyn RolloutStore>,
-    /// When this VM writes, by service, unless another one did.
-    due: HashMap<ServiceId, (RolloutOutcome, SystemTime)>,
-    read_at: Option<SystemTime>,
-    /// Changes whenever the store has come back from an older copy.
+    store: Box<dyn RolloutStore>,
+    /// When this VM writes the outcome of each service's roll-out, unless another VM writes it first.
+    write_times: HashMap<ServiceId, (RolloutOutcome, SystemTime)>,
+    last_read: Option<SystemTime>,
+    /// Changes whenever the store was restored from an older copy.
     eras: watch::Receiver<Option<Era>>,
-    /// Whether states that this VM knows to be written may be gone from the store.
-    may_miss_states: bool,
-    /// Whether what is kept of versions that were replaced was read.
-    has_read_kept: bool,
-    /// The phase of each service's roll-out that was last told in a line, and when.
-    told: HashMap<ServiceId, (&'static str, SystemTime)>,
+    /// Whether the store may have lost statuses that this VM knows to be written.
+    may_miss_statuses: bool,
+    /// Whether the saved baselines were read.
+    has_read_baselines: bool,
+    /// The phase in which the evidence on each service's roll-out was last logged, and when.
+    last_logged: HashMap<ServiceId, (&'static str, SystemTime)>,
     _ticker: AbortOnDropHandle<()>,
 }
 
 impl Actor for RolloutActor {
-    type Msg = Look;
+    type Msg = Evaluate;
     type State = RolloutState;
     type Arguments = (PublishedContext, Box<dyn RolloutStore>);
 
     async fn pre_start(
         &self,
-        myself: ActorRef<Look>,
-        (cx, book): Self::Arguments,
+        myself: ActorRef<Evaluate>,
+        (cx, store): Self::Arguments,
     ) -> Result<RolloutState, ActorProcessingErr> {
-        let ticker = tick(myself, LOOK_EVERY, || Look);
+        let ticker = tick(myself, EVALUATION_INTERVAL, || Evaluate);
         let eras = cx.shared.store.eras();
         Ok(RolloutState {
             cx,
-            book,
-            due: HashMap::new(),
-            read_at: None,
+            store,
+            write_times: HashMap::new(),
+            last_read: None,
             eras,
-            may_miss_states: false,
-            has_read_kept: false,
-            told: HashMap::new(),
+            may_miss_statuses: false,
+            has_read_baselines: false,
+            last_logged: HashMap::new(),
             _ticker: ticker,
         })
     }
 
     async fn handle(
         &self,
-        _myself: ActorRef<Look>,
-        _look: Look,
+        _myself: ActorRef<Evaluate>,
+        _message: Evaluate,
         state: &mut RolloutState,
     ) -> Result<(), ActorProcessingErr> {
-        state.look().await;
+        state.evaluate().await;
         Ok(())
     }
 }
 
 impl RolloutState {
-    async fn look(&mut self) {
+    async fn evaluate(&mut self) {
         let now = self.cx.shared.clock.now();
         let bounds = self.cx.shared.rollout_bounds();
         let halted = self.cx.shared.rollouts().evaluate(bounds, now);
-        self.log_grounds(now);
+        self.log_evidence(now);
         halted.iter().for_each(log_halt);
-        self.write_again().await;
+        self.rewrite_lost().await;
         if !self.cx.shared.rollouts().is_any_monitored(now) {
-            self.due.clear();
+            self.write_times.clear();
             return;
         }
         if self.must_read(now) && !self.read().await {
             return;
         }
-        if !self.has_read_kept && self.cx.shared.rollouts().lacks_baseline(now) {
-            self.read_kept().await;
+        if !self.has_read_baselines && self.cx.shared.rollouts().lacks_baseline(now) {
+            self.read_baselines().await;
         }
         let status_updates = self.cx.shared.rollouts().status_updates(bounds, now);
-        for verdict in status_updates {
-            if self.is_due(&verdict, now) {
-                self.write(&verdict).await;
+        for update in status_updates {
+            if self.is_due(&update, now) {
+                self.write(&update).await;
             }
         }
     }
 
-    /// Writes again the states that the store has lost since it came back from an older copy; one of the VMs that read it does.
-    async fn write_again(&mut self) {
-        self.may_miss_states |= self.eras.has_changed().unwrap_or_default();
+    /// Rewrites the statuses that a store restored from an older copy has lost; only VMs that read the store do so.
+    async fn rewrite_lost(&mut self) {
+        self.may_miss_statuses |= self.eras.has_changed().unwrap_or_default();
         self.eras.mark_unchanged();
-        if !self.may_miss_states || !self.cx.shared.store.is_reader() {
+        if !self.may_miss_statuses || !self.cx.shared.store.is_reader() {
             return;
         }
-        let there = match self.book.read_all().await {
-            Ok(there) => there,
-            Err(error) => return log::warn!("states of roll-outs were not read: {error}"),
+        let stored = match self.store.read_all().await {
+            Ok(stored) => stored,
+            Err(error) => return log::warn!("roll-out statuses not read: {error}"),
         };
-        let missing: Vec<RolloutStatus> = self.cx.shared.rollouts().statuses_missing_from(&there);
-        self.may_miss_states = !missing.is_empty();
+        let missing: Vec<RolloutStatus> = self.cx.shared.rollouts().statuses_missing_from(&stored);
+        self.may_miss_statuses = !missing.is_empty();
         for status in missing {
-            // Another reader that writes first makes this a conflict, and the next look finds its record.
-            self.write_known(&status, "the store has lost it").await;
+            // If another reader writes first, this is a conflict, and the next evaluation finds its record.
+            self.write_at_end(&status, "the store has lost it").await;
         }
     }
 
-    /// Tells what this VM's judgement rests on: at each change of phase, and now and then while a roll-out is under way.
-    fn log_grounds(&mut self, now: SystemTime) {
-        let known = self.cx.shared.rollouts().evidence_summaries(self.cx.shared.rollout_bounds(), now);
-        for grounds in known {
-            let told = self.told.get(&grounds.service).copied();
-            let is_news = told.is_none_or(|(phase, _)| phase != grounds.phase);
-            let is_open = grounds.new.ended > 0 && grounds.phase != RolloutOutcome::RolledBack.name();
-            if is_news || (is_open && told.is_some_and(|(_, at)| now >= at + GROUNDS_EVERY)) {
-                log_grounds(&grounds);
-                self.told.insert(grounds.service, (grounds.phase, now));
+    /// Logs the evidence on each roll-out when its phase changes, and at intervals while its new version is in use.
+    fn log_evidence(&mut self, now: SystemTime) {
+        let summaries = self.cx.shared.rollouts().evidence_summaries(self.cx.shared.rollout_bounds(), now);
+        for summary in summaries {
+            let logged = self.last_logged.get(&summary.service).copied();
+            let is_new_phase = logged.is_none_or(|(phase, _)| phase != summary.phase);
+            let is_in_use = summary.new.ended > 0 && summary.phase != RolloutOutcome::RolledBack.name();
+            if is_new_phase || (is_in_use && logged.is_some_and(|(_, at)| now >= at + EVIDENCE_LOG_INTERVAL)) {
+                log_summary(&summary);
+                self.last_logged.insert(summary.service, (summary.phase, now));
             }
         }
     }
 
-    /// Whether the store must be asked; VMs that don't read it for others learn of written states from reports.
+    /// Whether the statuses must be read now; VMs that don't read the store for others learn them from reports.
     fn must_read(&self, now: SystemTime) -> bool {
         let is_reader = self.cx.shared.store.is_reader() && self.cx.shared.rollouts().is_any_running();
-        match self.read_at {
-            Some(at) => is_reader && now >= at + READ_EVERY,
+        match self.last_read {
+            Some(at) => is_reader && now >= at + READ_INTERVAL,
             None => is_reader || self.cx.shared.rollouts().needs_statuses(),
         }
     }
 
-    /// Reads what other VMs wrote; tells whether the store could be read.
+    /// Reads the statuses that other VMs wrote. Returns whether the store could be read.
     async fn read(&mut self) -> bool {
-        let asked = self.cx.shared.clock.now();
-        let statuses = match self.book.read().await {
+        let started = self.cx.shared.clock.now();
+        let statuses = match self.store.read().await {
             Ok(statuses) => statuses,
             Err(error) => {
-                log::warn!("states of roll-outs were not read: {error}");
+                log::warn!("roll-out statuses not read: {error}");
                 return false;
             },
         };
-        self.read_at = Some(asked);
+        self.last_read = Some(started);
         for status in statuses {
             let line = format!("{} to {}: {:?}", status.service, status.version, status.outcome);
             if self.cx.shared.rollouts().record_status(status) {
-                log::info!(state = line.as_str(); "state of a roll-out read");
+                log::info!(state = line.as_str(); "roll-out status read");
             }
         }
         self.cx.shared.rollouts().set_statuses_read();
@@ -284,77 +286,78 @@
         true
     }
 
-    /// Reads what is kept of versions that were replaced, where no other VM told it.
-    async fn read_kept(&mut self) {
-        self.has_read_kept = true;
-        let kept = match self.book.read_replaced_versions().await {
-            Ok(kept) => kept,
-            Err(error) => return log::warn!("what is kept of earlier versions was not read: {error}"),
+    /// Reads the saved baselines, if no other VM has transferred them.
+    async fn read_baselines(&mut self) {
+        self.has_read_baselines = true;
+        let replaced_versions = match self.store.read_replaced_versions().await {
+            Ok(replaced_versions) => replaced_versions,
+            Err(error) => return log::warn!("roll-out baselines not read: {error}"),
         };
-        for ReplacedVersion { service, replaced_by, text } in kept {
-            match inflate_json(&text) {
-                Ok(usual) => {
-                    log::info!(service = service.as_str(), replaced_by = replaced_by.as_str(); "earlier version known");
-                    self.cx.shared.rollouts().merge_baseline(&service, &replaced_by, usual);
+        for ReplacedVersion { service, replaced_by, baseline } in replaced_versions {
+            match inflate_json(&baseline) {
+                Ok(baseline) => {
+                    log::info!(service = service.as_str(), replaced_by = replaced_by.as_str(); "baseline read");
+                    self.cx.shared.rollouts().merge_baseline(&service, &replaced_by, baseline);
                 },
-                Err(error) => log::error!(service = service.as_str(); "a kept version can't be read: {error}"),
+                Err(error) => log::error!(service = service.as_str(); "malformed roll-out baseline: {error}"),
             }
         }
     }
 
-    /// Keeps what is known of the version that is about to go, since starts need it to judge the new one.
-    async fn keep(&mut self, status: &RolloutStatus) -> Result<(), StoreError> {
-        let usual = self.cx.shared.rollouts().baseline(&status.service, &status.version);
-        let text = deflate_json(&usual).or_else(|error| NotDoneSnafu { reason: error.to_string() }.fail())?;
-        let known = ReplacedVersion { service: status.service.clone(), replaced_by: status.version.clone(), text };
-        self.book.save_replaced_version(&known).await
+    /// Saves the baseline of a roll-out, because VMs that start later need it to evaluate the new version.
+    async fn save_baseline(&mut self, status: &RolloutStatus) -> Result<(), StoreError> {
+        let baseline = self.cx.shared.rollouts().baseline(&status.service, &status.version);
+        let baseline = deflate_json(&baseline).or_else(|error| NotDoneSnafu { reason: error.to_string() }.fail())?;
+        let replaced =
+            ReplacedVersion { service: status.service.clone(), replaced_by: status.version.clone(), baseline };
+        self.store.save_replaced_version(&replaced).await
     }
 
-    /// Whether this VM should write now, or leave it to another for some time yet.
-    fn is_due(&mut self, verdict: &StatusUpdate, now: SystemTime) -> bool {
-        let outcome = verdict.status.outcome;
-        let spread = if outcome == RolloutOutcome::Running { TAKE_UP_SPREAD_MS } else { END_SPREAD_MS };
-        let known = self.due.get(&verdict.status.service).filter(|(due, _)| *due == outcome);
+    /// Whether this VM should write a status now, instead of waiting for another VM to write it.
+    fn is_due(&mut self, update: &StatusUpdate, now: SystemTime) -> bool {
+        let outcome = update.status.outcome;
+        let spread = if outcome == RolloutOutcome::Running { START_WRITE_SPREAD_MS } else { END_WRITE_SPREAD_MS };
+        let known = self.write_times.get(&update.status.service).filter(|(due, _)| *due == outcome);
         let at = match known {
             Some((_, at)) => *at,
             None => now + Duration::from_millis(self.cx.shared.rng().random_range(0..spread)),
         };
-        self.due.insert(verdict.status.service.clone(), (outcome, at));
+        self.write_times.insert(update.status.service.clone(), (outcome, at));
         now >= at
     }
 
-    async fn write(&mut self, verdict: &StatusUpdate) {
-        let is_final = verdict.status.outcome != RolloutOutcome::Running;
-        // A final state must not overwrite another final one, so what others wrote is read first.
+    async fn write(&mut self, update: &StatusUpdate) {
+        let is_final = update.status.outcome != RolloutOutcome::Running;
+        // A terminal status must not overwrite another one, so the statuses that other VMs wrote are read first.
         if is_final && !self.read().await {
             return;
         }
-        if self.cx.shared.rollouts().is_settled(&verdict.status) {
+        if self.cx.shared.rollouts().is_settled(&update.status) {
             return;
         }
-        self.write_known(&verdict.status, verdict.reason).await;
+        self.write_at_end(&update.status, update.reason).await;
     }
 
-    /// Writes a state at the end of what was read.
-    async fn write_known(&mut self, status: &RolloutStatus, reason: &str) {
+    /// Writes a status unless another record was written since the last read.
+    async fn write_at_end(&mut self, status: &RolloutStatus, reason: &str) {
         let line = format!("{} to {}: {:?}", status.service, status.version, status.outcome);
         if status.outcome == RolloutOutcome::Succeeded
-            && let Err(error) = self.keep(status).await
+            && let Err(error) = self.save_baseline(status).await
         {
-            return log::warn!(state = line.as_str(); "not written, since the version before could not be kept: {error}");
+            return log::warn!(state = line.as_str(); "roll-out status not written; baseline not saved: {error}");
         }
-        match self.book.write(status).await {
+        match self.store.write(status).await {
             Ok(WriteOutcome::Written) => {
-                log::info!(state = line.as_str(), reason = reason; "state of a roll-out written");
+                log::info!(state = line.as_str(), reason = reason; "roll-out status written");
                 self.cx.shared.rollouts().record_status(status.clone());
             },
             Ok(WriteOutcome::Conflict) => {
-                log::info!(state = line.as_str(); "another VM wrote the state of a roll-out first");
+                log::info!(state = line.as_str(); "another VM wrote a roll-out status first");
                 self.read().await;
             },
             Err(error) => {
-                log::warn!(state = line.as_str(); "state of a roll-out not written: {error}");
-                self.read_at = None;
+                log::warn!(state = line.as_str(); "roll-out status not written: {error}");
+                self.last_read = None;
             },
         }
     }
