--- a/havengrade_router/src/published/peers.rs
+++ b/havengrade_router/src/published/peers.rs
@@ -25,7 +25,7 @@
     net::Datagrams,
     published::{
         context::PublishedContext,
-        quarantine::apply_changes,
+        quarantine::announce_changes,
         signals::merge_reported_signals,
         store_view::{Questions, answer, hint},
         wire::{Report, decode_report, encode_report},
@@ -313,7 +313,7 @@
         log_learned(&learned, peer);
     }
     let changes = cx.shared.quarantine().merge_report(report.quarantine, now);
-    apply_changes(cx, &changes);
+    announce_changes(cx, &changes);
     merge_reported_signals(cx, report.signals, now);
     cx.shared.peers().apply_report(report.work, now);
     cx.shared.notify_peer_known();
--- a/havengrade_router/src/published/take.rs
+++ b/havengrade_router/src/published/take.rs
@@ -29,7 +29,7 @@
         follow::{ENDPOINTS, FollowMessage, OPERATORS, Relayed, find, send},
         hand_on::{FRAME_LIMIT, MAX_FRAME},
         ports::OperatorEvent,
-        quarantine::apply_changes,
+        quarantine::announce_changes,
         rollouts::merge_rollouts,
         signals::merge_reported_signals,
         state_parts::{EndpointsPart, OperatorsPart, VmsPart, inflate_json},
@@ -284,7 +284,7 @@
             known.set_loaded();
             known.merge_report(decode_quarantine(quarantine), now)
         };
-        apply_changes(cx, &changes);
+        announce_changes(cx, &changes);
     }
     // Before the list of endpoints, so that nothing is sent where it is known not to be wanted.
     merge_reported_signals(cx, decode_signals(head.signals.unwrap_or_default()), cx.shared.clock.now());
--- a/havengrade_router/src/quarantine.rs
+++ b/havengrade_router/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! What both interfaces do with requests that crash endpoints: the lines on them, and the look at an endpoint.
+//! Quarantine functions that both interfaces use: log lines, and the probe of an endpoint.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -7,19 +7,19 @@
 
 use crate::net::{BoxConnection, Network};
 
-/// What a look at an endpoint found.
+/// Result of a probe of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// It takes connections.
+    /// The endpoint accepts connections.
     Answers,
-    /// Nobody listens at its address: it has ended.
+    /// Nothing listens at its address: the endpoint has exited.
     Refuses,
-    /// Nothing came back.
+    /// The connection failed otherwise, or timed out.
     Silent,
 }
 
 impl ProbeResult {
-    /// Its name in logs and metrics.
+    /// Name of the result in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Answers => "answers",
@@ -29,7 +29,7 @@
     }
 }
 
-/// Looks whether an endpoint is there; gives the connection that came about, if one did.
+/// Probes an endpoint by connecting to it. Returns the connection as well if it is established.
 pub(crate) async fn probe(
     network: &dyn Network,
     address: SocketAddr,
@@ -42,35 +42,41 @@
     }
 }
 
-/// Tells what a look found.
-pub(crate) fn log_probe(endpoint: &str, found: ProbeResult) {
-    metrics::counter!("endpoint_looks", "found" => found.name()).increment(1);
-    log::info!(endpoint = endpoint, found = found.name(); "a look at an endpoint where a try broke");
+/// Logs and counts the result of a probe.
+pub(crate) fn log_probe(endpoint: &str, result: ProbeResult) {
+    metrics::counter!("endpoint_looks", "found" => result.name()).increment(1);
+    log::info!(endpoint = endpoint, found = result.name(); "endpoint probed after a failed attempt");
 }
 
-/// Writes the lines of changes.
+/// Logs changes of the quarantine, and counts the requests that this VM quarantines.
 pub(crate) fn log_changes(changes: &[QuarantineChange]) {
     for change in changes {
         match change {
-            QuarantineChange::Quarantined { fingerprint: mark, crashes } => {
+            QuarantineChange::Quarantined { fingerprint, crashes } => {
                 metrics::counter!("requests_quarantined").increment(1);
                 log::warn!(
-                    mark = format_fingerprint(*mark).as_str(),
+                    mark = format_fingerprint(*fingerprint).as_str(),
                     crashes = *crashes;
-                    "a request is held back, since endpoints end under it"
+                    "request quarantined, because endpoints crash when they run it"
                 );
             },
-            QuarantineChange::Learned { fingerprint: mark } => {
-                log::warn!(mark = format_fingerprint(*mark).as_str(); "a request is held back, as others tell");
+            QuarantineChange::Learned { fingerprint } => {
+                log::warn!(
+                    mark = format_fingerprint(*fingerprint).as_str();
+                    "request quarantined by another VM or the stored list"
+                );
             },
-            QuarantineChange::Released { fingerprint: mark } => {
-                log::warn!(mark = format_fingerprint(*mark).as_str(); "a request is held back no longer, since an endpoint answered it");
+            QuarantineChange::Released { fingerprint } => {
+                log::warn!(
+                    mark = format_fingerprint(*fingerprint).as_str();
+                    "request released from quarantine, because an endpoint answered it"
+                );
             },
         }
     }
 }
 
-/// A request's mark as it stands in lines.
-pub(crate) fn format_fingerprint(mark: RequestFingerprint) -> String {
-    format!("{mark:016x}")
+/// Formats the fingerprint of a request for logs.
+pub(crate) fn format_fingerprint(fingerprint: RequestFingerprint) -> String {
+    format!("{fingerprint:016x}")
 }
