--- a/havengrade_router/src/services/members/mod.rs
+++ b/havengrade_router/src/services/members/mod.rs
@@ -34,7 +34,7 @@
         ledger::{self, LedgerMessage},
         peers::{self, PeersMessage},
     },
-    traffic::quarantine::judge,
+    traffic::quarantine::evaluate_suspects,
 };
 
 /// Name of the service.
@@ -210,7 +210,7 @@
         self.judge_majority();
         self.tell_live();
         let now = self.cx.shared.clock.now();
-        judge(&self.cx, now);
+        evaluate_suspects(&self.cx, now);
         let quarantine = self.own_quarantine(now);
         let news = News { evidence: self.own_evidence().await, loads: self.own_reports(), quarantine };
         let heartbeat = self.heartbeat(Some(news));
--- a/havengrade_router/src/services/peers/mod.rs
+++ b/havengrade_router/src/services/peers/mod.rs
@@ -27,7 +27,7 @@
     kernel::{BindSnafu, Context, Service, StartError, spawn},
     net::Listener,
     services::{bills::BillsMessage, ledger::LedgerMessage},
-    traffic::ledger,
+    traffic::ledger_client,
 };
 
 /// Name of the service.
@@ -305,7 +305,7 @@
         let due: Vec<Incarnation> = self.held.iter().filter(due).map(|(writer, _)| *writer).collect();
         for writer in due {
             let records = self.held.remove(&writer).map(|held| held.records).unwrap_or_default();
-            records.into_values().for_each(|record| ledger::leave(&self.cx, record));
+            records.into_values().for_each(|record| ledger_client::submit_detached(&self.cx, record));
         }
     }
 
--- a/havengrade_router/src/services/peers/server.rs
+++ b/havengrade_router/src/services/peers/server.rs
@@ -23,7 +23,7 @@
         config::{self, ConfigMessage},
         members::{self, MembersMessage},
     },
-    traffic::Lookup,
+    traffic::RequestStatus,
 };
 
 /// Accepts connections of other VMs.
@@ -120,9 +120,9 @@
 
 fn ask_here(cx: &Context, ask: &PeerAsk) -> PeerAnswer {
     match cx.shared.requests.look_up(&ask.request_id, &ask.account) {
-        Lookup::Unknown => PeerAnswer::new("unknown".to_owned(), None, None, None),
-        Lookup::Pending => PeerAnswer::new("pending".to_owned(), None, None, None),
-        Lookup::Ended { status, content_type, body } => {
+        RequestStatus::Unknown => PeerAnswer::new("unknown".to_owned(), None, None, None),
+        RequestStatus::Pending => PeerAnswer::new("pending".to_owned(), None, None, None),
+        RequestStatus::Ended { status, content_type, body } => {
             PeerAnswer::new("answered".to_owned(), i32::from(status), content_type, body.to_vec())
         },
     }
--- a/havengrade_router/src/traffic/request.rs
+++ b/havengrade_router/src/traffic/active_request.rs
@@ -20,7 +20,7 @@
     secret::{Digest, digest},
 };
 
-use crate::{kernel::Context, traffic::table::RequestEntry};
+use crate::{kernel::Context, traffic::request_table::RequestEntry};
 
 /// The key of a request that may not be repeated, or that outlives its VM.
 #[derive(Clone, Debug)]
--- a/havengrade_router/src/traffic/answer.rs
+++ b/havengrade_router/src/traffic/answer.rs
@@ -16,10 +16,10 @@
 use crate::{
     clock::Clock,
     traffic::{
-        Lookup, Problem,
-        api::{chunk, content_of},
-        caller::{ENDPOINT, REQUEST_ID, SESSION, VERSION},
-        table::{End, RequestEntry},
+        Problem, RequestStatus,
+        caller_headers::{ENDPOINT, REQUEST_ID, SESSION, VERSION},
+        chat_api::{chunk, content_of},
+        request_table::{End, RequestEntry},
     },
 };
 
@@ -62,7 +62,7 @@
         (false, _) => pending(&entry.id),
         (true, Some(End::PendingElsewhere(id))) => pending(&id),
         (true, Some(End::Failed(problem))) if entry.news(0).pieces.is_empty() || manner == Manner::Whole => {
-            from_problem(&problem.of_request(&entry.id))
+            from_problem(&problem.with_request_id(&entry.id))
         },
         (true, Some(End::Answered { status, content_type, body })) if manner == Manner::Whole || status != 200 => {
             whole(status, &content_type, body)
@@ -121,11 +121,11 @@
 }
 
 /// What a look-up of a request found.
-pub(crate) fn looked_up(id: &str, lookup: Lookup) -> Option<Answer> {
+pub(crate) fn looked_up(id: &str, lookup: RequestStatus) -> Option<Answer> {
     match lookup {
-        Lookup::Unknown => None,
-        Lookup::Pending => Some(pending(id)),
-        Lookup::Ended { status, content_type, body } => {
+        RequestStatus::Unknown => None,
+        RequestStatus::Pending => Some(pending(id)),
+        RequestStatus::Ended { status, content_type, body } => {
             let mut answer = whole(status, &content_type, body);
             set(&mut answer, &REQUEST_ID, Some(id));
             Some(answer)
@@ -180,7 +180,7 @@
                 self.has_ended = true;
             },
             Some(End::Failed(problem)) => {
-                let problem = problem.of_request(&self.entry.id);
+                let problem = problem.with_request_id(&self.entry.id);
                 events.push_str(&format!("event: error\ndata: {}\n\n", String::from_utf8_lossy(&problem.to_json())));
                 self.has_ended = true;
             },
--- a/havengrade_router/src/traffic/engine.rs
+++ b/havengrade_router/src/traffic/engine_stream.rs
@@ -21,7 +21,7 @@
 use crate::{
     http::{HttpError, Reuse, get, post},
     kernel::Context,
-    traffic::{api::EngineChunk, rest::note_rest},
+    traffic::{backoff::note_rest, chat_api::EngineChunk},
 };
 
 /// Names a stream, so that it can be resumed and cancelled.
--- a/havengrade_router/src/traffic/job.rs
+++ b/havengrade_router/src/traffic/execution.rs
@@ -25,13 +25,13 @@
     services::outbox::Submitted,
     traffic::{
         ChatRequest, Problem,
-        api::completion,
-        engine::{EngineCall, EngineError, PieceSink},
-        ledger, plain,
+        active_request::{Job, Keyed, Spent},
+        chat_api::completion,
+        engine_stream::{EngineCall, EngineError, PieceSink},
+        ledger_client, plain_call,
         quarantine::Watched,
-        refuse::{ANSWER_LOST, lost_answer, refuse, unclaimed},
-        request::{Job, Keyed, Spent},
-        table::{End, Head, RequestEntry},
+        refusal::{ANSWER_LOST, lost_answer, refuse, unclaimed},
+        request_table::{End, Head, RequestEntry},
     },
 };
 
@@ -79,8 +79,8 @@
 async fn carry_out(job: &Job, work: &Work) -> End {
     match (work, &job.decision.route) {
         (Work::Chat(chat), Route::Engines { versions }) => climb(job, chat, versions).await,
-        (Work::Chat(_), _) => plain::call(job, "application/json", "/v1/chat/completions").await,
-        (Work::Plain { content_type, path }, _) => plain::call(job, content_type, path).await,
+        (Work::Chat(_), _) => plain_call::call(job, "application/json", "/v1/chat/completions").await,
+        (Work::Plain { content_type, path }, _) => plain_call::call(job, content_type, path).await,
     }
 }
 
@@ -115,7 +115,7 @@
 fn no_endpoint(rest: Option<Duration>) -> Problem {
     let detail = "no endpoint that may answer is there now; come back later";
     let back_after = rest.unwrap_or(COME_BACK);
-    Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "no_endpoint", detail).retry_after(back_after)
+    Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "no_endpoint", detail).with_retry_after(back_after)
 }
 
 /// A whole answer of a version.
@@ -215,7 +215,7 @@
 
 fn refused(reason: &str) -> Problem {
     let detail = format!("no endpoint took the request ({reason}); come back later");
-    Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "endpoints_busy", detail).retry_after(COME_BACK)
+    Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "endpoints_busy", detail).with_retry_after(COME_BACK)
 }
 
 /// The endpoint for the next try, if there is one and the budget for retries has room.
@@ -242,11 +242,11 @@
     }
     if is_log_away {
         let detail = "the log service is away, so nobody could tell whether the request ran; come back later";
-        let problem = Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "log_away", detail).retry_after(COME_BACK);
+        let problem = Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "log_away", detail).with_retry_after(COME_BACK);
         return Err(Stop::Ended(refuse(&job.cx, Some(keyed), &job.entry.id, problem).await));
     }
     let record = LedgerRecord::Claim(job.claim(keyed, &endpoint.id));
-    match ledger::submit(&job.cx, record).await {
+    match ledger_client::submit(&job.cx, record).await {
         Submitted::Logged(ApplyResult::Applied) => {
             job.is_claimed.store(true, Ordering::Release);
             Ok(())
@@ -261,7 +261,7 @@
             let detail = "the log service did not show the claim in time, so the request was not sent; \
                           ask again with the same key";
             let problem = Problem::may_have_run(StatusCode::SERVICE_UNAVAILABLE, "claim_unknown", detail);
-            Err(Stop::Ended(End::Failed(problem.retry_after(COME_BACK))))
+            Err(Stop::Ended(End::Failed(problem.with_retry_after(COME_BACK))))
         },
     }
 }
@@ -279,11 +279,11 @@
     if !job.may_have_been_sent() {
         let holder = job.cx.shared.incarnation;
         // The log shows that only we could have sent it, so "not run" holds before this is written.
-        ledger::leave(&job.cx, LedgerRecord::Void { key, up_to: keyed.attempt(), holder, request_id });
+        ledger_client::submit_detached(&job.cx, LedgerRecord::Void { key, up_to: keyed.attempt(), holder, request_id });
         return End::Failed(problem);
     }
     let bill = job.bill(None, "", Spent::default());
-    ledger::leave(&job.cx, outcome_record(job, keyed, Outcome::MayHaveRun, bill));
+    ledger_client::submit_detached(&job.cx, outcome_record(job, keyed, Outcome::MayHaveRun, bill));
     End::Failed(after_send(job, problem))
 }
 
@@ -339,11 +339,11 @@
 /// Puts the bill, and for a request with a key its outcome, where they outlive this VM.
 pub(crate) async fn settle(job: &Job, bill: Bill, end: &End) {
     let Some(keyed) = &job.keyed else {
-        ledger::submit(&job.cx, LedgerRecord::Bill(bill)).await;
+        ledger_client::submit(&job.cx, LedgerRecord::Bill(bill)).await;
         return;
     };
     let outcome = to_outcome(job, end);
-    ledger::submit(&job.cx, outcome_record(job, keyed, outcome, bill)).await;
+    ledger_client::submit(&job.cx, outcome_record(job, keyed, outcome, bill)).await;
 }
 
 /// The record of an outcome: of the claim that the request holds, or of a run without one.
@@ -363,7 +363,7 @@
         return Outcome::Answered { status: *status, content_type: content_type.clone(), body };
     }
     let detail = "the request ran, but its answer was too long, or no text, and is not kept";
-    let problem = Problem::may_have_run(StatusCode::GONE, "answer_not_kept", detail).of_request(&job.entry.id);
+    let problem = Problem::may_have_run(StatusCode::GONE, "answer_not_kept", detail).with_request_id(&job.entry.id);
     let body = String::from_utf8(problem.to_json().to_vec()).unwrap_or_default();
     Outcome::Answered { status: problem.status, content_type: super::problem::PROBLEM_JSON.to_owned(), body }
 }
--- a/havengrade_router/src/traffic/ledger.rs
+++ b/havengrade_router/src/traffic/ledger_client.rs
@@ -34,7 +34,7 @@
 }
 
 /// Submits a record that is never given up and that nobody waits for.
-pub(crate) fn leave(cx: &Context, record: LedgerRecord) {
+pub(crate) fn submit_detached(cx: &Context, record: LedgerRecord) {
     let record = Box::new(record);
     // A service that is gone takes its records along, as a crash would; peers may hold them.
     if let LedgerRecord::Bill(_) = *record {
@@ -47,14 +47,14 @@
 }
 
 /// What is known of a key.
-pub(crate) async fn key(cx: &Context, key: ClaimKey) -> Option<KeyState> {
+pub(crate) async fn find_key(cx: &Context, key: ClaimKey) -> Option<KeyState> {
     let service = cx.find::<LedgerMessage>(ledger::NAME)?;
     let state = service.call(|reply| LedgerMessage::Key(key, reply), Some(LOOK_UP_LIMIT)).await;
     state.ok()?.success_or(()).ok().flatten()
 }
 
 /// What is known of the key that a request holds.
-pub(crate) async fn request(cx: &Context, id: RequestId) -> Option<(ClaimKey, KeyState)> {
+pub(crate) async fn find_request(cx: &Context, id: RequestId) -> Option<(ClaimKey, KeyState)> {
     let service = cx.find::<LedgerMessage>(ledger::NAME)?;
     let state = service.call(|reply| LedgerMessage::Request(id, reply), Some(LOOK_UP_LIMIT)).await;
     state.ok()?.success_or(()).ok().flatten()
--- a/havengrade_router/src/traffic/mod.rs
+++ b/havengrade_router/src/traffic/mod.rs
@@ -1,24 +1,24 @@
-//! Traffic: callers' requests, carried to endpoints on threads of their own.
+//! The router's own API for callers: requests are forwarded to endpoints on dedicated traffic threads.
 
+mod active_request;
 mod answer;
-mod api;
-mod caller;
-mod engine;
-mod job;
-pub(crate) mod ledger;
-mod plain;
+mod backoff;
+mod caller_headers;
+mod chat_api;
+mod engine_stream;
+mod execution;
+pub(crate) mod ledger_client;
+mod plain_call;
 mod problem;
 pub(crate) mod quarantine;
-mod refuse;
-mod request;
-mod rest;
+mod refusal;
+mod request_table;
 mod routes;
 mod server;
-mod table;
 
 pub use self::{
-    api::ChatRequest,
+    chat_api::ChatRequest,
     problem::{Problem, RunState},
+    request_table::{RequestStatus, RequestTable},
     server::serve,
-    table::{Lookup, RequestTable},
 };
--- a/havengrade_router/src/traffic/plain.rs
+++ b/havengrade_router/src/traffic/plain_call.rs
@@ -20,13 +20,13 @@
     http::{Answer, HttpError, Reuse, post},
     traffic::{
         Problem,
-        caller::{IDEMPOTENCY_KEY, REQUEST_ID},
-        job::{Stop, claim, give_up, next_endpoint, settle},
+        active_request::{Job, Spent},
+        backoff::note_rest,
+        caller_headers::{IDEMPOTENCY_KEY, REQUEST_ID},
+        execution::{Stop, claim, give_up, next_endpoint, settle},
         quarantine::Watched,
-        refuse::lost_answer,
-        request::{Job, Spent},
-        rest::note_rest,
-        table::{End, Head},
+        refusal::lost_answer,
+        request_table::{End, Head},
     },
 };
 
@@ -42,7 +42,7 @@
     let mut tried: Vec<EndpointId> = Vec::new();
     let mut problem = unavailable("no endpoint of the service is there now");
     if let Some(rest) = job.rest_left(None) {
-        problem = problem.retry_after(rest);
+        problem = problem.with_retry_after(rest);
     }
     let watched = Watched::new(job, None, path);
     while let Some(endpoint) = next(job, &tried).await {
@@ -89,7 +89,7 @@
     /// Time after which the service may be there again.
     const COME_BACK: Duration = Duration::from_secs(1);
     let detail = format!("{reason}; come back later");
-    Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "service_unavailable", detail).retry_after(COME_BACK)
+    Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "service_unavailable", detail).with_retry_after(COME_BACK)
 }
 
 /// The endpoint for the next try.
--- a/havengrade_router/src/traffic/problem.rs
+++ b/havengrade_router/src/traffic/problem.rs
@@ -66,14 +66,14 @@
 
     /// The problem with the time after which another try may succeed.
     #[must_use]
-    pub fn retry_after(mut self, after: Duration) -> Self {
+    pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after_ms = Some(u64::try_from(after.as_millis()).unwrap_or(u64::MAX));
         self
     }
 
     /// The problem with the id of its request.
     #[must_use]
-    pub fn of_request(mut self, id: &str) -> Self {
+    pub fn with_request_id(mut self, id: &str) -> Self {
         self.request_id = Some(id.to_owned());
         self
     }
@@ -123,7 +123,7 @@
                 "the client account has started as many requests as it may in a second; come back later"
             },
         };
-        Self::not_run(StatusCode::TOO_MANY_REQUESTS, "account_limit", detail).retry_after(after)
+        Self::not_run(StatusCode::TOO_MANY_REQUESTS, "account_limit", detail).with_retry_after(after)
     }
 }
 
@@ -137,6 +137,6 @@
             Closed::Draining => ("draining", "this VM is about to stop; try another"),
             Closed::BillsWaiting => ("bills_waiting", "too many bills wait for the log service; come back later"),
         };
-        Self::not_run(StatusCode::SERVICE_UNAVAILABLE, kind, detail).retry_after(COME_BACK)
+        Self::not_run(StatusCode::SERVICE_UNAVAILABLE, kind, detail).with_retry_after(COME_BACK)
     }
 }
--- a/havengrade_router/src/traffic/quarantine.rs
+++ b/havengrade_router/src/traffic/quarantine.rs
@@ -16,7 +16,7 @@
 use crate::{
     kernel::Context,
     quarantine::{ProbeResult, log_changes, log_probe, probe},
-    traffic::{Problem, request::Job},
+    traffic::{Problem, active_request::Job},
 };
 
 /// Time between two looks at whether a request may be sent, while that is about to be known.
@@ -50,7 +50,7 @@
         let give_up = self.job.now() + MOST_WAIT.min(self.job.time_left());
         loop {
             let now = self.job.now();
-            judge(cx, now);
+            evaluate_suspects(cx, now);
             let standing = cx.shared.quarantine().status(self.mark, now);
             let back_after = match standing {
                 QuarantineStatus::Free => return Ok(()),
@@ -111,16 +111,16 @@
         ProbeResult::Refuses => cx.shared.quarantine().record_endpoint_exit(endpoint, now),
         ProbeResult::Silent => {},
     }
-    judge(cx, now);
+    evaluate_suspects(cx, now);
 }
 
 fn held(back_after: Duration) -> Problem {
     let detail = "endpoints ended under this request, so that it is held back";
-    Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "quarantined", detail).retry_after(back_after)
+    Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "quarantined", detail).with_retry_after(back_after)
 }
 
 /// Judges by what is known now.
-pub(crate) fn judge(cx: &Context, now: SystemTime) {
+pub(crate) fn evaluate_suspects(cx: &Context, now: SystemTime) {
     let changes = cx.shared.quarantine().quarantine_suspects(now);
     log_changes(&changes);
 }
--- a/havengrade_router/src/traffic/refuse.rs
+++ b/havengrade_router/src/traffic/refusal.rs
@@ -10,7 +10,7 @@
 use crate::{
     kernel::Context,
     services::outbox::Submitted,
-    traffic::{Problem, RunState, ledger, request::Keyed, table::End},
+    traffic::{Problem, RunState, active_request::Keyed, ledger_client, request_table::End},
 };
 
 /// The end of a request that this VM has not sent and never will.
@@ -29,10 +29,10 @@
         holder: cx.shared.incarnation,
         request_id: request_id.to_owned(),
     };
-    match ledger::submit(cx, record).await {
+    match ledger_client::submit(cx, record).await {
         Submitted::Logged(ApplyResult::Applied) => End::Failed(problem),
         Submitted::Logged(ApplyResult::AlreadyClaimed { request_id, .. }) => {
-            let state = ledger::key(cx, keyed.key.clone()).await;
+            let state = ledger_client::find_key(cx, keyed.key.clone()).await;
             state.and_then(|state| known(&state, keyed)).unwrap_or(End::PendingElsewhere(request_id))
         },
         Submitted::Logged(_) | Submitted::Held | Submitted::GivenUp => End::Failed(without_log(keyed, problem)),
@@ -64,7 +64,7 @@
         Outcome::Answered { status, content_type, body } => {
             End::Answered { status: *status, content_type: content_type.clone(), body: body.clone().into() }
         },
-        Outcome::MayHaveRun => End::Failed(lost_answer().of_request(request_id)),
+        Outcome::MayHaveRun => End::Failed(lost_answer().with_request_id(request_id)),
     }
 }
 
@@ -94,7 +94,7 @@
         ApplyResult::AlreadyVoided { up_to } => voided(up_to),
         ApplyResult::BodyMismatch => End::Failed(other_body()),
         ApplyResult::AlreadyClaimed { request_id, .. } => {
-            let state = ledger::key(cx, keyed.key.clone()).await;
+            let state = ledger_client::find_key(cx, keyed.key.clone()).await;
             state.and_then(|state| known(&state, keyed)).unwrap_or(End::PendingElsewhere(request_id))
         },
         ApplyResult::Applied | ApplyResult::NotApplicable => End::Failed(lost_answer()),
--- a/havengrade_router/src/traffic/table.rs
+++ b/havengrade_router/src/traffic/request_table.rs
@@ -134,7 +134,7 @@
 
 /// What is known of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Lookup {
+pub enum RequestStatus {
     /// Nothing.
     Unknown,
     /// It is in progress.
@@ -202,15 +202,17 @@
     }
 
     /// What is known of a client account's request; another's is unknown to it.
-    pub fn look_up(&self, id: &str, account: &str) -> Lookup {
+    pub fn look_up(&self, id: &str, account: &str) -> RequestStatus {
         let Some(entry) = self.get(id).filter(|entry| entry.account == account) else {
-            return Lookup::Unknown;
+            return RequestStatus::Unknown;
         };
         match entry.news(0).end {
-            None | Some(End::PendingElsewhere(_)) => Lookup::Pending,
-            Some(End::Answered { status, content_type, body }) => Lookup::Ended { status, content_type, body },
-            Some(End::Failed(problem)) => {
-                Lookup::Ended { status: problem.status, content_type: PROBLEM_JSON.to_owned(), body: problem.to_json() }
+            None | Some(End::PendingElsewhere(_)) => RequestStatus::Pending,
+            Some(End::Answered { status, content_type, body }) => RequestStatus::Ended { status, content_type, body },
+            Some(End::Failed(problem)) => RequestStatus::Ended {
+                status: problem.status,
+                content_type: PROBLEM_JSON.to_owned(),
+                body: problem.to_json(),
             },
         }
     }
--- a/havengrade_router/src/traffic/routes.rs
+++ b/havengrade_router/src/traffic/routes.rs
@@ -23,14 +23,14 @@
     metrics,
     services::members,
     traffic::{
-        ChatRequest, Lookup, Problem,
+        ChatRequest, Problem, RequestStatus,
+        active_request::{Job, Keyed},
         answer::{Answer, Manner, answer, ended, from_problem, looked_up, whole},
-        caller::{self, CallerHeaders},
-        job::{Work, run},
-        ledger,
-        refuse::{known, refuse, stored},
-        request::{Job, Keyed},
-        table::{End, RequestEntry},
+        caller_headers::{self, CallerHeaders},
+        execution::{Work, run},
+        ledger_client,
+        refusal::{known, refuse, stored},
+        request_table::{End, RequestEntry},
     },
 };
 
@@ -122,7 +122,7 @@
     let (head, body) = request.into_parts();
     check_headers(&head.headers, limits.max_header_bytes)?;
     let account = account_of(cx, &head.headers)?;
-    let caller = caller::read(&head.headers)?;
+    let caller = caller_headers::read(&head.headers)?;
     let collected = Limited::new(body, limits.max_body_bytes).collect();
     let Ok(collected) = timeout(Duration::from_millis(limits.read_timeout_ms), collected).await else {
         let detail = "body: it did not come in time; send it without long pauses";
@@ -150,7 +150,7 @@
 }
 
 fn account_of(cx: &Context, headers: &HeaderMap) -> Result<Account, Problem> {
-    let key = caller::bearer(headers).unwrap_or_default();
+    let key = caller_headers::bearer(headers).unwrap_or_default();
     let catalog = cx.shared.catalog.load();
     authenticate(&catalog, key).cloned().map_err(|refusal| Problem::from(&refusal))
 }
@@ -170,7 +170,7 @@
 async fn admit(cx: &Context, arrival: Arrival, meta: &RequestMeta, entry: &Arc<RequestEntry>) -> Result<Job, End> {
     let keyed = keyed(cx, &arrival);
     if let Some(keyed) = &keyed
-        && let Some(state) = ledger::key(cx, keyed.key.clone()).await
+        && let Some(state) = ledger_client::find_key(cx, keyed.key.clone()).await
         && let Some(end) = known(&state, keyed)
         && !can_ask_again(cx, meta, &state)
     {
@@ -230,7 +230,7 @@
     }
     shared.admission().release(&arrival.account.id);
     let detail = "this VM has as many requests in progress as it may; try another";
-    Err(Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "vm_full", detail).retry_after(COME_BACK))
+    Err(Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "vm_full", detail).with_retry_after(COME_BACK))
 }
 
 /// Tells what became of a request, whichever VM took it.
@@ -239,7 +239,8 @@
     if let Some(answer) = looked_up(id, cx.shared.requests.look_up(id, &account.id)) {
         return Ok(answer);
     }
-    if let Some((_, state)) = ledger::request(cx, id.to_owned()).await.filter(|(key, _)| key.account == account.id)
+    if let Some((_, state)) =
+        ledger_client::find_request(cx, id.to_owned()).await.filter(|(key, _)| key.account == account.id)
         && let Some(outcome) = &state.outcome
     {
         return Ok(ended(id, stored(outcome, &id.to_owned())));
@@ -249,26 +250,26 @@
     }
     let detail = "the request is not known here, nor at the VM that took it; it may have run, and if it has a key, \
                   sending it again with the key does no harm";
-    Err(Problem::may_have_run(StatusCode::NOT_FOUND, "unknown_request", detail).of_request(id))
+    Err(Problem::may_have_run(StatusCode::NOT_FOUND, "unknown_request", detail).with_request_id(id))
 }
 
 /// Asks the VM whose name the id carries.
-async fn ask_its_vm(cx: &Context, id: &str, account: &str) -> Lookup {
+async fn ask_its_vm(cx: &Context, id: &str, account: &str) -> RequestStatus {
     let vm: VmId = id.split('.').next().unwrap_or_default().to_owned();
     if vm == *cx.shared.vm() {
-        return Lookup::Unknown;
+        return RequestStatus::Unknown;
     }
     let ask = PeerAsk::new(id.to_owned(), account.to_owned());
     let Some(PeerReply::Answer(found)) = members::call(cx, vm, PeerRequest::Ask(ask)).await else {
-        return Lookup::Unknown;
+        return RequestStatus::Unknown;
     };
     match found.state.as_str() {
-        "pending" => Lookup::Pending,
-        "answered" => Lookup::Ended {
+        "pending" => RequestStatus::Pending,
+        "answered" => RequestStatus::Ended {
             status: found.status.and_then(|status| u16::try_from(status).ok()).unwrap_or(200),
             content_type: found.content_type.unwrap_or_default(),
             body: found.body.unwrap_or_default().into(),
         },
-        _ => Lookup::Unknown,
+        _ => RequestStatus::Unknown,
     }
 }
