--- a/havengrade_replay/src/capacity/rows.rs
+++ b/havengrade_replay/src/capacity/rows.rs
@@ -1,6 +1,6 @@
 //! The rows of the capacity tables: slope times size.
 
-use havengrade_router::{services::members::EVIDENCE_EVERY, settings::PeerSettings};
+use havengrade_router::{services::members::HEARTBEATS_PER_EVIDENCE, settings::PeerSettings};
 
 use super::Sizes;
 use crate::measure::Slopes;
@@ -80,7 +80,7 @@
 
 fn evidence_bytes(slopes: &Slopes, sizes: &Sizes) -> f64 {
     let changed = sizes.classes * sizes.versions * CHANGED_TALLIES;
-    exchanges(sizes) / EVIDENCE_EVERY as f64 * changed * slopes.per("evidence_bytes")
+    exchanges(sizes) / HEARTBEATS_PER_EVIDENCE as f64 * changed * slopes.per("evidence_bytes")
 }
 
 pub(crate) fn rows(slopes: &Slopes, sizes: &Sizes) -> Vec<Row> {
--- a/havengrade_router/src/published/hand_on.rs
+++ b/havengrade_router/src/published/hand_on.rs
@@ -24,7 +24,7 @@
         state_parts::{deflate_json, encode_endpoints_part, encode_operators_part, encode_vms_part},
         wire::{encode_quarantine, encode_rollout, encode_signals, from_i64, to_i64},
     },
-    services::ACCEPT_PAUSE,
+    services::ACCEPT_RETRY_DELAY,
     shared::lock,
 };
 
@@ -65,7 +65,7 @@
             },
             Err(error) => {
                 log::warn!("connection of another VM not accepted: {error}");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             },
         }
     }
--- a/havengrade_router/src/published/peers.rs
+++ b/havengrade_router/src/published/peers.rs
@@ -30,7 +30,7 @@
         store_view::{Questions, answer, hint},
         wire::{Report, decode_report, encode_report},
     },
-    services::tick,
+    services::send_periodically,
     shared::lock,
 };
 
@@ -117,7 +117,7 @@
         let Arguments { cx, socket } = arguments;
         let questions = Arc::new(Mutex::new(Questions::default()));
         let tasks = [
-            tick(myself, LOOK_EVERY, || PeersMessage::Look),
+            send_periodically(myself, LOOK_EVERY, || PeersMessage::Look),
             AbortOnDropHandle::new(tokio::spawn(receive(cx.clone(), socket.clone(), questions.clone()))),
         ];
         Ok(PeersState { cx, socket, questions, seq: 0, hinted: None, has_offered: false, sent: None, _tasks: tasks })
--- a/havengrade_router/src/published/rollouts.rs
+++ b/havengrade_router/src/published/rollouts.rs
@@ -27,7 +27,7 @@
         ports::{NotDoneSnafu, ReplacedVersion, RolloutStore, StoreError, WriteOutcome},
         state_parts::{deflate_json, inflate_json},
     },
-    services::tick,
+    services::send_periodically,
     shared::lock,
 };
 
@@ -170,7 +170,7 @@
         myself: ActorRef<Evaluate>,
         (cx, store): Self::Arguments,
     ) -> Result<RolloutState, ActorProcessingErr> {
-        let ticker = tick(myself, EVALUATION_INTERVAL, || Evaluate);
+        let ticker = send_periodically(myself, EVALUATION_INTERVAL, || Evaluate);
         let eras = cx.shared.store.eras();
         Ok(RolloutState {
             cx,
--- a/havengrade_router/src/published/server.rs
+++ b/havengrade_router/src/published/server.rs
@@ -21,7 +21,7 @@
         framing::Followed,
         refusal::{AnswerBody, Refusal, full_body},
     },
-    services::ACCEPT_PAUSE,
+    services::ACCEPT_RETRY_DELAY,
 };
 
 /// Smallest buffer that the library takes, in bytes.
@@ -53,7 +53,7 @@
             },
             Err(error) => {
                 log::warn!("connection not accepted: {error}");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             },
         }
     }
@@ -121,7 +121,7 @@
             },
             Err(error) => {
                 log::warn!("connection not accepted: {error}");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             },
         }
     }
--- a/havengrade_router/src/services/bills.rs
+++ b/havengrade_router/src/services/bills.rs
@@ -13,8 +13,8 @@
     kernel::Context,
     platform::Stream,
     services::{
-        outbox::{Outbox, OutboxMessage, Submitted},
-        peers::Holder,
+        outbox::{Outbox, OutboxMessage, SubmitOutcome},
+        peers::OutboxOwner,
     },
 };
 
@@ -31,16 +31,16 @@
         /// The bill.
         record: Box<LedgerRecord>,
         /// Is told once the bill is safe; none for bills that nobody waits for.
-        reply: Option<RpcReplyPort<Submitted>>,
+        reply: Option<RpcReplyPort<SubmitOutcome>>,
     },
     /// The log service answered that a batch is in.
     Appended(u64),
     /// The log service did not answer; a bill may stand in the stream twice, so it is sent again.
     Unanswered(u64),
     /// Enough peers hold the bills of these requests.
-    Held(Vec<RequestId>),
+    Replicated(Vec<RequestId>),
     /// VMs that were heard from.
-    Live(Vec<Incarnation>),
+    LiveIncarnations(Vec<Incarnation>),
     /// Whether everything that was submitted is in the log.
     IsEmpty(RpcReplyPort<bool>),
     /// Time to look at what is due.
@@ -76,7 +76,7 @@
     type Arguments = Context;
 
     async fn pre_start(&self, myself: ActorRef<Self::Msg>, cx: Context) -> Result<BillsState, ActorProcessingErr> {
-        let ticker = super::tick(myself, TICK, || BillsMessage::Tick);
+        let ticker = super::send_periodically(myself, TICK, || BillsMessage::Tick);
         Ok(BillsState { outbox: Outbox::new(cx, Stream::Bills), _ticker: ticker })
     }
 
@@ -91,12 +91,12 @@
             BillsMessage::Submit { record, reply } => outbox.push(*record, reply),
             BillsMessage::Appended(seq) => outbox.resolve_all(seq),
             BillsMessage::Unanswered(seq) => outbox.send_again(seq),
-            BillsMessage::Held(requests) => outbox.held(&requests),
-            BillsMessage::Live(live) => outbox.note_live(live),
+            BillsMessage::Replicated(requests) => outbox.held(&requests),
+            BillsMessage::LiveIncarnations(live) => outbox.note_live(live),
             BillsMessage::IsEmpty(reply) => {
                 let _ = reply.send(outbox.is_empty());
             },
-            BillsMessage::Tick => outbox.offer_to_peers(Holder::Bills(myself.clone())),
+            BillsMessage::Tick => outbox.offer_to_peers(OutboxOwner::Bills(myself.clone())),
         }
         outbox.send_due(&myself);
         Ok(())
--- a/havengrade_router/src/services/config.rs
+++ b/havengrade_router/src/services/config.rs
@@ -32,7 +32,7 @@
 /// What the service is told and asked.
 pub enum ConfigMessage {
     /// A part of the stream; answered once it is replayed.
-    Read {
+    Replay {
         /// The part.
         slice: LogSlice,
         /// When it was asked for.
@@ -41,7 +41,7 @@
         reply: RpcReplyPort<()>,
     },
     /// Records that a peer knows.
-    Relayed {
+    ReplayFromPeer {
         /// The records, in order.
         records: Vec<LogRecord>,
         /// The whole configuration of a peer that keeps no older records.
@@ -61,12 +61,12 @@
         /// Most records.
         limit: usize,
         /// Is given the records.
-        reply: RpcReplyPort<Fetched>,
+        reply: RpcReplyPort<FetchedRecords>,
     },
 }
 
 /// What a peer that is behind is given.
-pub struct Fetched {
+pub struct FetchedRecords {
     /// The records, in order and without a gap.
     pub records: Vec<LogRecord>,
     /// Offset after the newest record that is known here.
@@ -114,11 +114,11 @@
         state: &mut ConfigState,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            ConfigMessage::Read { slice, asked, reply } => {
+            ConfigMessage::Replay { slice, asked, reply } => {
                 state.read(&slice, asked);
                 let _ = reply.send(());
             },
-            ConfigMessage::Relayed { records, snapshot } => state.relayed(&records, snapshot),
+            ConfigMessage::ReplayFromPeer { records, snapshot } => state.relayed(&records, snapshot),
             ConfigMessage::Propose { record, reply } => state.propose(record, reply),
             ConfigMessage::Fetch { from, limit, reply } => {
                 let _ = reply.send(state.fetch(from, limit));
@@ -137,7 +137,7 @@
         match cx.log.read(Stream::Config, from, READ_RECORDS, wait).await {
             Ok(slice) => {
                 cx.shared.set_log_reachable(true);
-                let replayed = service.call(|reply| ConfigMessage::Read { slice, asked, reply }, None).await;
+                let replayed = service.call(|reply| ConfigMessage::Replay { slice, asked, reply }, None).await;
                 if replayed.is_err() {
                     return;
                 }
@@ -276,7 +276,7 @@
         self.appends.push(AbortOnDropHandle::new(task));
     }
 
-    fn fetch(&self, from: Offset, limit: usize) -> Fetched {
+    fn fetch(&self, from: Offset, limit: usize) -> FetchedRecords {
         let next = self.config.next_offset;
         let oldest = self.kept.front().map_or(next, |record| record.offset);
         let snapshot = (from < oldest && from < next).then(|| Box::new(self.config.clone()));
@@ -284,7 +284,7 @@
             Some(_) => Vec::new(),
             None => self.kept.iter().filter(|record| record.offset >= from).take(limit).cloned().collect(),
         };
-        Fetched { records, next, snapshot }
+        FetchedRecords { records, next, snapshot }
     }
 
     /// Writes a snapshot once enough records have come since the last one.
--- a/havengrade_router/src/services/endpoints.rs
+++ b/havengrade_router/src/services/endpoints.rs
@@ -49,7 +49,7 @@
     /// Time to look whose turn it is.
     Tick,
     /// An endpoint answered.
-    Reported {
+    OwnReport {
         /// The endpoint.
         endpoint: EndpointId,
         /// Requests of ours that were there when it was asked.
@@ -58,9 +58,9 @@
         report: EndpointReport,
     },
     /// Reports that another VM was given.
-    Relayed(Vec<(EndpointId, EndpointReport)>),
+    RelayedReports(Vec<(EndpointId, EndpointReport)>),
     /// The platform's list.
-    Listed(Vec<ListedEndpoint>),
+    PlatformList(Vec<ListedEndpoint>),
 }
 
 /// The actor of the service.
@@ -100,7 +100,7 @@
             cx,
             watched: BTreeMap::new(),
             listed_leaving: HashSet::new(),
-            _ticker: super::tick(myself, TICK, || EndpointsMessage::Tick),
+            _ticker: super::send_periodically(myself, TICK, || EndpointsMessage::Tick),
         })
     }
 
@@ -112,14 +112,14 @@
     ) -> Result<(), ActorProcessingErr> {
         match message {
             EndpointsMessage::Tick => state.tick(&myself),
-            EndpointsMessage::Reported { endpoint, own, report } => {
+            EndpointsMessage::OwnReport { endpoint, own, report } => {
                 state.reported(&endpoint, report, Some(own));
                 state.cx.shared.note_report(endpoint, report);
             },
-            EndpointsMessage::Relayed(reports) => {
+            EndpointsMessage::RelayedReports(reports) => {
                 reports.into_iter().for_each(|(endpoint, report)| state.reported(&endpoint, report, None));
             },
-            EndpointsMessage::Listed(listed) => state.listed(&listed),
+            EndpointsMessage::PlatformList(listed) => state.listed(&listed),
         }
         Ok(())
     }
@@ -244,7 +244,7 @@
         Err(error) => error.surely_not_sent().then_some(EndpointReport::Gone),
     };
     if let Some(report) = report {
-        let _ = service.cast(EndpointsMessage::Reported { endpoint, own, report });
+        let _ = service.cast(EndpointsMessage::OwnReport { endpoint, own, report });
     }
 }
 
--- a/havengrade_router/src/services/evidence.rs
+++ b/havengrade_router/src/services/evidence.rs
@@ -31,7 +31,7 @@
     /// Another VM's counters.
     Merge(Incarnation, Vec<(TallyKey, Tally)>),
     /// Own counters that have changed since the last call, or all of them.
-    Own {
+    TakeOwn {
         /// Whether all are asked for.
         all: bool,
         /// Is given the counters.
@@ -64,7 +64,7 @@
     type Arguments = Context;
 
     async fn pre_start(&self, myself: ActorRef<Self::Msg>, cx: Context) -> Result<EvidenceState, ActorProcessingErr> {
-        let ticker = super::tick(myself, PUBLISH_EVERY, || EvidenceMessage::Tick);
+        let ticker = super::send_periodically(myself, PUBLISH_EVERY, || EvidenceMessage::Tick);
         let evidence = Evidence::default();
         Ok(EvidenceState {
             cx,
@@ -86,7 +86,7 @@
     ) -> Result<(), ActorProcessingErr> {
         match message {
             EvidenceMessage::Merge(writer, tallies) => state.merge(writer, &tallies),
-            EvidenceMessage::Own { all, reply } => {
+            EvidenceMessage::TakeOwn { all, reply } => {
                 let _ = reply.send(state.take_own(all));
             },
             EvidenceMessage::Tick => state.publish(),
--- a/havengrade_router/src/services/ledger.rs
+++ b/havengrade_router/src/services/ledger.rs
@@ -23,8 +23,8 @@
     kernel::Context,
     platform::{LogSlice, Stream},
     services::{
-        outbox::{Outbox, OutboxMessage, Submitted},
-        peers::Holder,
+        outbox::{Outbox, OutboxMessage, SubmitOutcome},
+        peers::OutboxOwner,
     },
 };
 
@@ -40,7 +40,7 @@
 /// What the service is told and asked.
 pub enum LedgerMessage {
     /// A part of the stream; answered once it is replayed.
-    Read {
+    Replay {
         /// The part.
         slice: LogSlice,
         /// Is told that the part is replayed.
@@ -51,20 +51,20 @@
         /// The record.
         record: Box<LedgerRecord>,
         /// Is told how it fared; none for records that nobody waits for.
-        reply: Option<RpcReplyPort<Submitted>>,
+        reply: Option<RpcReplyPort<SubmitOutcome>>,
     },
     /// The log service answered that a batch is in; what counts is that it is read back.
     Appended,
     /// Enough peers hold the records about these requests.
-    Held(Vec<RequestId>),
+    Replicated(Vec<RequestId>),
     /// What is known of a key.
-    Key(ClaimKey, RpcReplyPort<Option<KeyState>>),
+    KeyState(ClaimKey, RpcReplyPort<Option<KeyState>>),
     /// What is known of the key that a request holds.
-    Request(RequestId, RpcReplyPort<Option<(ClaimKey, KeyState)>>),
+    RequestState(RequestId, RpcReplyPort<Option<(ClaimKey, KeyState)>>),
     /// Whether everything that was submitted is in the log.
     IsEmpty(RpcReplyPort<bool>),
     /// VMs that were heard from, so that what is left behind by others can be closed.
-    Live(Vec<Incarnation>),
+    LiveIncarnations(Vec<Incarnation>),
     /// Time to look at what is due.
     Tick,
 }
@@ -120,7 +120,7 @@
             live: HashMap::new(),
             last_sweep: now,
             _tail: AbortOnDropHandle::new(tail),
-            _ticker: super::tick(myself, TICK, || LedgerMessage::Tick),
+            _ticker: super::send_periodically(myself, TICK, || LedgerMessage::Tick),
         })
     }
 
@@ -131,23 +131,23 @@
         state: &mut LedgerState,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            LedgerMessage::Read { slice, reply } => {
+            LedgerMessage::Replay { slice, reply } => {
                 state.read(&slice);
                 let _ = reply.send(());
             },
             LedgerMessage::Submit { record, reply } => state.outbox.push(*record, reply),
             LedgerMessage::Appended => {},
-            LedgerMessage::Held(requests) => state.outbox.held(&requests),
-            LedgerMessage::Key(key, reply) => {
+            LedgerMessage::Replicated(requests) => state.outbox.held(&requests),
+            LedgerMessage::KeyState(key, reply) => {
                 let _ = reply.send(state.ledger.key_state(&key).cloned());
             },
-            LedgerMessage::Request(id, reply) => {
+            LedgerMessage::RequestState(id, reply) => {
                 let _ = reply.send(state.ledger.claimed_request(&id).map(|(key, state)| (key.clone(), state.clone())));
             },
             LedgerMessage::IsEmpty(reply) => {
                 let _ = reply.send(state.outbox.is_empty());
             },
-            LedgerMessage::Live(live) => {
+            LedgerMessage::LiveIncarnations(live) => {
                 state.note_live(&live);
                 state.outbox.note_live(live);
             },
@@ -165,7 +165,7 @@
         let from = next.load(Ordering::Acquire);
         match cx.log.read(Stream::Ledger, from, READ_BATCHES, wait).await {
             Ok(slice) => {
-                if service.call(|reply| LedgerMessage::Read { slice, reply }, None).await.is_err() {
+                if service.call(|reply| LedgerMessage::Replay { slice, reply }, None).await.is_err() {
                     return;
                 }
             },
@@ -223,7 +223,7 @@
         if let Some(batch) = self.outbox.give_up_late() {
             self.given_up.insert(batch.seq, batch.records);
         }
-        self.outbox.offer_to_peers(Holder::Ledger(myself.clone()));
+        self.outbox.offer_to_peers(OutboxOwner::Ledger(myself.clone()));
         self.close_abandoned(self.cx.shared.clock.now());
     }
 
--- a/havengrade_router/src/services/members/mod.rs
+++ b/havengrade_router/src/services/members/mod.rs
@@ -41,9 +41,9 @@
 pub const NAME: &str = "members";
 
 /// Heartbeats of which one carries evidence that has changed.
-pub const EVIDENCE_EVERY: u64 = 4;
+pub const HEARTBEATS_PER_EVIDENCE: u64 = 4;
 /// Heartbeats after which all of the evidence is sent again.
-const FULL_EVIDENCE_EVERY: u64 = 64;
+const HEARTBEATS_PER_FULL_EVIDENCE: u64 = 64;
 /// Heartbeats after which a VM that is not heard from no longer looks after what others hold for it.
 const LIVE_HEARTBEATS: u32 = 3;
 /// Configuration records that are asked of a peer at once.
@@ -52,9 +52,9 @@
 /// What the service is told and asked.
 pub enum MembersMessage {
     /// The platform's list.
-    Listed(VmListing),
+    VmList(VmListing),
     /// A heartbeat; its sender is given ours.
-    Heard {
+    Heartbeat {
         /// The heartbeat.
         heartbeat: Box<PeerHeartbeat>,
         /// When we asked for it; none where it came unasked, and may have been on its way for long.
@@ -100,7 +100,7 @@
             uses: HashMap::new(),
             calls: Vec::new(),
             _list: AbortOnDropHandle::new(list),
-            _ticker: crate::services::tick(myself, every, || MembersMessage::Tick),
+            _ticker: crate::services::send_periodically(myself, every, || MembersMessage::Tick),
         })
     }
 
@@ -111,8 +111,8 @@
         state: &mut MembersState,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            MembersMessage::Listed(listing) => state.listed(listing),
-            MembersMessage::Heard { heartbeat, asked, reply } => {
+            MembersMessage::VmList(listing) => state.listed(listing),
+            MembersMessage::Heartbeat { heartbeat, asked, reply } => {
                 state.heard(*heartbeat, asked);
                 if let Some(reply) = reply {
                     let _ = reply.send(state.heartbeat(None));
@@ -132,7 +132,7 @@
     loop {
         match cx.vm_list.read().await {
             Ok(listing) => {
-                if service.cast(MembersMessage::Listed(listing)).is_err() {
+                if service.cast(MembersMessage::VmList(listing)).is_err() {
                     return;
                 }
             },
@@ -149,10 +149,10 @@
 
     fn listed(&mut self, listing: VmListing) {
         if let Some(endpoints) = self.cx.find::<EndpointsMessage>(endpoints::NAME) {
-            let _ = endpoints.cast(EndpointsMessage::Listed(listing.endpoints));
+            let _ = endpoints.cast(EndpointsMessage::PlatformList(listing.endpoints));
         }
         if let Some(peers) = self.cx.find::<PeersMessage>(peers::NAME) {
-            let _ = peers.cast(PeersMessage::Listed(listing.entries.clone()));
+            let _ = peers.cast(PeersMessage::VmList(listing.entries.clone()));
         }
         self.membership.replace_listed(listing.entries);
     }
@@ -236,12 +236,12 @@
     }
 
     async fn own_evidence(&self) -> Vec<EvidenceTally> {
-        if !self.seq.is_multiple_of(EVIDENCE_EVERY) {
+        if !self.seq.is_multiple_of(HEARTBEATS_PER_EVIDENCE) {
             return Vec::new();
         }
-        let all = self.seq.is_multiple_of(FULL_EVIDENCE_EVERY);
+        let all = self.seq.is_multiple_of(HEARTBEATS_PER_FULL_EVIDENCE);
         let Some(service) = self.cx.find::<EvidenceMessage>(evidence::NAME) else { return Vec::new() };
-        let own = service.call(|reply| EvidenceMessage::Own { all, reply }, None).await;
+        let own = service.call(|reply| EvidenceMessage::TakeOwn { all, reply }, None).await;
         let own = own.ok().and_then(|own| own.success_or(()).ok()).unwrap_or_default();
         own.iter().map(|(subject, tally)| to_wire(subject, tally)).collect()
     }
@@ -299,15 +299,15 @@
     fn tell_live(&self) {
         let live = self.incarnations(self.silence());
         if let Some(service) = self.cx.find::<LedgerMessage>(ledger::NAME) {
-            let _ = service.cast(LedgerMessage::Live(live.clone()));
+            let _ = service.cast(LedgerMessage::LiveIncarnations(live.clone()));
         }
         if let Some(service) = self.cx.find::<BillsMessage>(bills::NAME) {
-            let _ = service.cast(BillsMessage::Live(live.clone()));
+            let _ = service.cast(BillsMessage::LiveIncarnations(live.clone()));
         }
         if let Some(service) = self.cx.find::<PeersMessage>(peers::NAME) {
             let prompt = LIVE_HEARTBEATS * Duration::from_millis(self.cx.shared.settings.peers.heartbeat_ms);
             let live = self.incarnations(prompt);
-            let _ = service.cast(PeersMessage::Live(live));
+            let _ = service.cast(PeersMessage::LiveIncarnations(live));
         }
     }
 
@@ -324,7 +324,7 @@
         if last.incarnation != heartbeat.incarnation
             && let Some(service) = self.cx.find::<PeersMessage>(peers::NAME)
         {
-            let _ = service.cast(PeersMessage::Gone(last.incarnation));
+            let _ = service.cast(PeersMessage::IncarnationGone(last.incarnation));
         }
     }
 
@@ -344,7 +344,7 @@
             && self.is_prompt(&heartbeat.vm, now)
             && let Some(service) = self.cx.find::<EndpointsMessage>(endpoints::NAME)
         {
-            let _ = service.cast(EndpointsMessage::Relayed(loads.into_iter().map(from_load).collect()));
+            let _ = service.cast(EndpointsMessage::RelayedReports(loads.into_iter().map(from_load).collect()));
         }
         if let Some(quarantine) = message.quarantine {
             let changes = self.cx.shared.quarantine().merge_report(decode_quarantine(quarantine), now);
@@ -389,15 +389,15 @@
 
 async fn send_heartbeat(cx: Context, service: ActorRef<MembersMessage>, to: VmId, heartbeat: PeerHeartbeat) {
     let asked = cx.shared.clock.now();
-    if let Some(PeerReply::Heartbeat(heartbeat)) = call(&cx, to, PeerRequest::Heartbeat(heartbeat)).await {
+    if let Some(PeerReply::Heartbeat(heartbeat)) = call_peer(&cx, to, PeerRequest::Heartbeat(heartbeat)).await {
         let heartbeat = Box::new(heartbeat);
-        let _ = service.cast(MembersMessage::Heard { heartbeat, asked: Some(asked), reply: None });
+        let _ = service.cast(MembersMessage::Heartbeat { heartbeat, asked: Some(asked), reply: None });
     }
 }
 
 async fn fetch(cx: Context, from: VmId, next: u64) {
     let request = PeerRequest::Fetch(PeerFetch::new(next.cast_signed(), FETCH_RECORDS));
-    let Some(PeerReply::Records(PeerRecords { records, snapshot, .. })) = call(&cx, from, request).await else {
+    let Some(PeerReply::Records(PeerRecords { records, snapshot, .. })) = call_peer(&cx, from, request).await else {
         return;
     };
     let to_record = |record: havengrade_rpc::peers::PeerRecord| {
@@ -407,12 +407,12 @@
     let records = records.into_iter().map_while(to_record).collect();
     let snapshot = snapshot.and_then(|bytes| serde_json::from_slice(&bytes).ok());
     if let Some(service) = cx.find::<ConfigMessage>(config::NAME) {
-        let _ = service.cast(ConfigMessage::Relayed { records, snapshot });
+        let _ = service.cast(ConfigMessage::ReplayFromPeer { records, snapshot });
     }
 }
 
 /// Sends a request to a VM through the service for peers.
-pub(crate) async fn call(cx: &Context, to: VmId, request: PeerRequest) -> Option<PeerReply> {
+pub(crate) async fn call_peer(cx: &Context, to: VmId, request: PeerRequest) -> Option<PeerReply> {
     let peers = cx.find::<PeersMessage>(peers::NAME)?;
     let reply = peers.call(|reply| PeersMessage::Send { to, request: Box::new(request), reply }, None).await;
     reply.ok()?.success_or(()).ok()
--- a/havengrade_router/src/services/mod.rs
+++ b/havengrade_router/src/services/mod.rs
@@ -17,10 +17,10 @@
 use tokio_util::task::AbortOnDropHandle;
 
 /// Time for which nothing is accepted after an error of the listener.
-pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Sends a message to a service again and again, until the service is gone.
-pub(crate) fn tick<M: Message>(
+pub(crate) fn send_periodically<M: Message>(
     service: ActorRef<M>,
     every: Duration,
     message: impl Fn() -> M + Send + 'static,
--- a/havengrade_router/src/services/operators.rs
+++ b/havengrade_router/src/services/operators.rs
@@ -91,7 +91,7 @@
             Ok(connection) => drop(connections.spawn(serve_operator(cx.clone(), connection))),
             Err(error) => {
                 log::warn!(service = NAME; "connection not accepted: {error}");
-                sleep(super::ACCEPT_PAUSE).await;
+                sleep(super::ACCEPT_RETRY_DELAY).await;
             },
         }
     }
@@ -389,6 +389,6 @@
         return Err(bad_request("vm", "no such VM is listed; `havengradectl status` shows them"));
     }
     let request = PeerRequest::Drain(PeerDrain::new(author.to_owned()));
-    let reply = members::call(cx, vm, request).await;
+    let reply = members::call_peer(cx, vm, request).await;
     reply.map(drop).ok_or_else(|| unavailable("the VM did not answer; call its own operators' port"))
 }
--- a/havengrade_router/src/services/outbox.rs
+++ b/havengrade_router/src/services/outbox.rs
@@ -14,7 +14,7 @@
 use crate::{
     kernel::Context,
     platform::Stream,
-    services::peers::{self, Holder, PeersMessage},
+    services::peers::{self, OutboxOwner, PeersMessage},
 };
 
 /// Records that one batch carries at the most.
@@ -26,19 +26,19 @@
 
 /// How a submitted record fared.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Submitted {
+pub enum SubmitOutcome {
     /// It stands in the log; this is how it fared there.
     Logged(ApplyResult),
     /// It is not in the log yet, but other VMs hold it until it is.
-    Held,
+    Replicated,
     /// It was given up; if it lands after all, what it claims is given back.
-    GivenUp,
+    Cancelled,
 }
 
 /// A record on its way into the log.
 pub(super) struct Pending {
     pub(super) record: LedgerRecord,
-    reply: Option<RpcReplyPort<Submitted>>,
+    reply: Option<RpcReplyPort<SubmitOutcome>>,
     since: SystemTime,
     /// When peers were asked to hold it.
     offered: Option<SystemTime>,
@@ -56,7 +56,7 @@
         }
     }
 
-    fn answer(&mut self, submitted: Submitted) {
+    fn answer(&mut self, submitted: SubmitOutcome) {
         if let Some(reply) = self.reply.take() {
             let _ = reply.send(submitted);
         }
@@ -128,7 +128,7 @@
         self.queue.iter().chain(sent).any(|it| it.record.request_id().is_some_and(|id| id == request_id))
     }
 
-    pub(super) fn push(&mut self, record: LedgerRecord, reply: Option<RpcReplyPort<Submitted>>) {
+    pub(super) fn push(&mut self, record: LedgerRecord, reply: Option<RpcReplyPort<SubmitOutcome>>) {
         let since = self.now();
         self.queue.push(Pending { record, reply, since, offered: None, is_held: false });
     }
@@ -181,7 +181,7 @@
         let Some(sent) = self.sent.take_if(|sent| sent.seq == seq) else { return false };
         let mut no_longer_held = Vec::new();
         for (mut pending, verdict) in sent.records.into_iter().zip(verdicts) {
-            pending.answer(Submitted::Logged(verdict));
+            pending.answer(SubmitOutcome::Logged(verdict));
             no_longer_held.extend(pending.record.request_id().filter(|_| pending.offered.is_some()).cloned());
         }
         self.release(no_longer_held);
@@ -209,7 +209,7 @@
             return;
         }
         if let Some(peers) = self.cx.find::<PeersMessage>(peers::NAME) {
-            let _ = peers.cast(PeersMessage::ReleaseAtPeers { requests });
+            let _ = peers.cast(PeersMessage::ReleaseReplicas { requests });
         }
     }
 
@@ -222,17 +222,17 @@
         };
         let (late, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.queue).into_iter().partition(is_late);
         self.queue = rest;
-        late.into_iter().for_each(|mut pending| pending.answer(Submitted::GivenUp));
+        late.into_iter().for_each(|mut pending| pending.answer(SubmitOutcome::Cancelled));
         let sent = self.sent.take_if(|sent| sent.records.iter().any(is_late))?;
         let records = sent.records.iter().map(|pending| pending.record.clone()).collect();
         let (late, rest): (Vec<_>, Vec<_>) = sent.records.into_iter().partition(Pending::may_be_given_up);
-        late.into_iter().for_each(|mut pending| pending.answer(Submitted::GivenUp));
+        late.into_iter().for_each(|mut pending| pending.answer(SubmitOutcome::Cancelled));
         self.queue.splice(0..0, rest);
         Some(GivenUpBatch { seq: sent.seq, records })
     }
 
     /// Offers bills and outcomes to peers while the log service is away.
-    pub(super) fn offer_to_peers(&mut self, holder: Holder) {
+    pub(super) fn offer_to_peers(&mut self, holder: OutboxOwner) {
         let now = self.now();
         let is_due = |pending: &&mut Pending| {
             let waits_since = pending.offered.unwrap_or(pending.since);
@@ -248,7 +248,7 @@
             return;
         }
         if let Some(peers) = self.cx.find::<PeersMessage>(peers::NAME) {
-            let _ = peers.cast(PeersMessage::Hold { records, holder });
+            let _ = peers.cast(PeersMessage::Replicate { records, holder });
         }
     }
 
@@ -269,7 +269,7 @@
         for pending in self.pending() {
             if pending.record.request_id().is_some_and(|id| requests.contains(id)) {
                 pending.is_held = true;
-                pending.answer(Submitted::Held);
+                pending.answer(SubmitOutcome::Replicated);
             }
         }
     }
--- a/havengrade_router/src/services/peers/mod.rs
+++ b/havengrade_router/src/services/peers/mod.rs
@@ -39,19 +39,19 @@
 const MAX_HELD: usize = 100_000;
 
 /// Who is told when records are held.
-pub enum Holder {
+pub enum OutboxOwner {
     /// The ledger service.
     Ledger(ActorRef<LedgerMessage>),
     /// The service for bills.
     Bills(ActorRef<BillsMessage>),
 }
 
-impl Holder {
+impl OutboxOwner {
     fn tell(self, requests: Vec<RequestId>) {
         // A service that is gone needs no word any more.
         match self {
-            Self::Ledger(service) => drop(service.cast(LedgerMessage::Held(requests))),
-            Self::Bills(service) => drop(service.cast(BillsMessage::Held(requests))),
+            Self::Ledger(service) => drop(service.cast(LedgerMessage::Replicated(requests))),
+            Self::Bills(service) => drop(service.cast(BillsMessage::Replicated(requests))),
         }
     }
 }
@@ -59,7 +59,7 @@
 /// What the service is told and asked.
 pub enum PeersMessage {
     /// The VMs that are listed.
-    Listed(Vec<ListedVm>),
+    VmList(Vec<ListedVm>),
     /// Send a request to a VM.
     Send {
         /// The VM.
@@ -70,19 +70,19 @@
         reply: RpcReplyPort<PeerReply>,
     },
     /// Have records held by peers while the log service is away.
-    Hold {
+    Replicate {
         /// The records.
         records: Vec<LedgerRecord>,
         /// Is told when enough peers hold them.
-        holder: Holder,
+        holder: OutboxOwner,
     },
     /// Tell peers that they need no longer hold records of ours.
-    ReleaseAtPeers {
+    ReleaseReplicas {
         /// The requests that the records are about.
         requests: Vec<RequestId>,
     },
     /// A peer has records to be held.
-    Held {
+    StoreReplicas {
         /// Run of the process that wrote them.
         writer: Incarnation,
         /// The records.
@@ -91,16 +91,16 @@
         reply: RpcReplyPort<bool>,
     },
     /// A peer no longer needs records to be held.
-    Release {
+    DropReplicas {
         /// Run of the process that wrote them.
         writer: Incarnation,
         /// The requests that they are about.
         requests: Vec<RequestId>,
     },
     /// VMs that were heard from.
-    Live(Vec<Incarnation>),
+    LiveIncarnations(Vec<Incarnation>),
     /// A process is gone, since its VM runs another.
-    Gone(Incarnation),
+    IncarnationGone(Incarnation),
     /// Time to look at what is held.
     Tick,
 }
@@ -161,7 +161,7 @@
             log_away: None,
             calls: Vec::new(),
             _server: AbortOnDropHandle::new(server),
-            _ticker: crate::services::tick(myself, TICK, || PeersMessage::Tick),
+            _ticker: crate::services::send_periodically(myself, TICK, || PeersMessage::Tick),
         })
     }
 
@@ -172,16 +172,16 @@
         state: &mut PeersState,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            PeersMessage::Listed(vms) => state.listed(vms),
+            PeersMessage::VmList(vms) => state.listed(vms),
             PeersMessage::Send { to, request, reply } => state.send(&to, *request, reply),
-            PeersMessage::Hold { records, holder } => state.hold(&records, holder),
-            PeersMessage::ReleaseAtPeers { requests } => state.release_at_peers(&requests),
-            PeersMessage::Held { writer, records, reply } => {
+            PeersMessage::Replicate { records, holder } => state.hold(&records, holder),
+            PeersMessage::ReleaseReplicas { requests } => state.release_at_peers(&requests),
+            PeersMessage::StoreReplicas { writer, records, reply } => {
                 let _ = reply.send(state.take(writer, records));
             },
-            PeersMessage::Release { writer, requests } => state.release(writer, &requests),
-            PeersMessage::Live(live) => state.note_live(&live),
-            PeersMessage::Gone(writer) => {
+            PeersMessage::DropReplicas { writer, requests } => state.release(writer, &requests),
+            PeersMessage::LiveIncarnations(live) => state.note_live(&live),
+            PeersMessage::IncarnationGone(writer) => {
                 if let Some(held) = state.held.get_mut(&writer) {
                     held.heard = SystemTime::UNIX_EPOCH;
                 }
@@ -223,7 +223,7 @@
     }
 
     /// Gives records to peers, first to those in other failure domains.
-    fn hold(&mut self, records: &[LedgerRecord], holder: Holder) {
+    fn hold(&mut self, records: &[LedgerRecord], holder: OutboxOwner) {
         let copies = self.cx.shared.settings.peers.bill_copies;
         let own_domain = &self.cx.shared.settings.vm.failure_domain;
         let mut peers: Vec<Peer> = self.peers.values().filter(|peer| !peer.listed.leaving).cloned().collect();
--- a/havengrade_router/src/services/peers/server.rs
+++ b/havengrade_router/src/services/peers/server.rs
@@ -19,7 +19,7 @@
     kernel::Context,
     net::{BoxConnection, Listener},
     services::{
-        ACCEPT_PAUSE,
+        ACCEPT_RETRY_DELAY,
         config::{self, ConfigMessage},
         members::{self, MembersMessage},
     },
@@ -35,7 +35,7 @@
             Ok(connection) => drop(connections.spawn(serve_peer(cx.clone(), connection))),
             Err(error) => {
                 log::warn!(service = NAME; "connection not accepted: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             },
         }
     }
@@ -69,7 +69,11 @@
             let members = cx.find::<MembersMessage>(members::NAME)?;
             let reply = members
                 .call(
-                    |reply| MembersMessage::Heard { heartbeat: Box::new(heartbeat), asked: None, reply: Some(reply) },
+                    |reply| MembersMessage::Heartbeat {
+                        heartbeat: Box::new(heartbeat),
+                        asked: None,
+                        reply: Some(reply),
+                    },
                     None,
                 )
                 .await;
@@ -80,7 +84,7 @@
         PeerRequest::Release(release) => {
             let PeerRelease { writer, request_ids } = release;
             let peers = cx.find::<PeersMessage>(NAME)?;
-            let message = PeersMessage::Release { writer: writer.cast_unsigned(), requests: request_ids };
+            let message = PeersMessage::DropReplicas { writer: writer.cast_unsigned(), requests: request_ids };
             peers.cast(message).ok()?;
             Some(PeerReply::Done(PeerDone::new()))
         },
@@ -114,7 +118,7 @@
     let records: Option<Vec<LedgerRecord>> = hold.records.iter().map(parse).collect();
     let Some(records) = records else { return Some(false) };
     let writer = hold.writer.cast_unsigned();
-    let held = peers.call(|reply| PeersMessage::Held { writer, records, reply }, Some(REPLY_LIMIT)).await;
+    let held = peers.call(|reply| PeersMessage::StoreReplicas { writer, records, reply }, Some(REPLY_LIMIT)).await;
     held.ok()?.success_or(()).ok()
 }
 
--- a/havengrade_router/src/traffic/execution.rs
+++ b/havengrade_router/src/traffic/execution.rs
@@ -22,7 +22,7 @@
 
 use crate::{
     platform::RatingRequest,
-    services::outbox::Submitted,
+    services::outbox::SubmitOutcome,
     traffic::{
         ChatRequest, Problem,
         active_request::{Job, Keyed, Spent},
@@ -247,17 +247,17 @@
     }
     let record = LedgerRecord::Claim(job.claim(keyed, &endpoint.id));
     match ledger_client::submit(&job.cx, record).await {
-        Submitted::Logged(ApplyResult::Applied) => {
+        SubmitOutcome::Logged(ApplyResult::Applied) => {
             job.is_claimed.store(true, Ordering::Release);
             Ok(())
         },
-        Submitted::Logged(verdict) => match unclaimed(&job.cx, keyed, verdict).await {
+        SubmitOutcome::Logged(verdict) => match unclaimed(&job.cx, keyed, verdict).await {
             // The first request's answer is lost, but the endpoint knows the key and can tell.
             End::Failed(problem) if recognises && problem.kind == ANSWER_LOST => Ok(()),
             end => Err(Stop::Ended(end)),
         },
-        Submitted::Held | Submitted::GivenUp if recognises => Ok(()),
-        Submitted::Held | Submitted::GivenUp => {
+        SubmitOutcome::Replicated | SubmitOutcome::Cancelled if recognises => Ok(()),
+        SubmitOutcome::Replicated | SubmitOutcome::Cancelled => {
             let detail = "the log service did not show the claim in time, so the request was not sent; \
                           ask again with the same key";
             let problem = Problem::may_have_run(StatusCode::SERVICE_UNAVAILABLE, "claim_unknown", detail);
--- a/havengrade_router/src/traffic/ledger_client.rs
+++ b/havengrade_router/src/traffic/ledger_client.rs
@@ -13,7 +13,7 @@
     services::{
         bills::{self, BillsMessage},
         ledger::{self, LedgerMessage},
-        outbox::Submitted,
+        outbox::SubmitOutcome,
     },
 };
 
@@ -21,16 +21,16 @@
 const LOOK_UP_LIMIT: Duration = Duration::from_secs(1);
 
 /// Submits a record and waits until it is known how it fared.
-pub(crate) async fn submit(cx: &Context, record: LedgerRecord) -> Submitted {
+pub(crate) async fn submit(cx: &Context, record: LedgerRecord) -> SubmitOutcome {
     let record = Box::new(record);
     let submitted = if let LedgerRecord::Bill(_) = *record {
-        let Some(service) = cx.find::<BillsMessage>(bills::NAME) else { return Submitted::GivenUp };
+        let Some(service) = cx.find::<BillsMessage>(bills::NAME) else { return SubmitOutcome::Cancelled };
         service.call(|reply| BillsMessage::Submit { record, reply: Some(reply) }, None).await.ok()
     } else {
-        let Some(service) = cx.find::<LedgerMessage>(ledger::NAME) else { return Submitted::GivenUp };
+        let Some(service) = cx.find::<LedgerMessage>(ledger::NAME) else { return SubmitOutcome::Cancelled };
         service.call(|reply| LedgerMessage::Submit { record, reply: Some(reply) }, None).await.ok()
     };
-    submitted.and_then(|submitted| submitted.success_or(()).ok()).unwrap_or(Submitted::GivenUp)
+    submitted.and_then(|submitted| submitted.success_or(()).ok()).unwrap_or(SubmitOutcome::Cancelled)
 }
 
 /// Submits a record that is never given up and that nobody waits for.
@@ -49,13 +49,13 @@
 /// What is known of a key.
 pub(crate) async fn find_key(cx: &Context, key: ClaimKey) -> Option<KeyState> {
     let service = cx.find::<LedgerMessage>(ledger::NAME)?;
-    let state = service.call(|reply| LedgerMessage::Key(key, reply), Some(LOOK_UP_LIMIT)).await;
+    let state = service.call(|reply| LedgerMessage::KeyState(key, reply), Some(LOOK_UP_LIMIT)).await;
     state.ok()?.success_or(()).ok().flatten()
 }
 
 /// What is known of the key that a request holds.
 pub(crate) async fn find_request(cx: &Context, id: RequestId) -> Option<(ClaimKey, KeyState)> {
     let service = cx.find::<LedgerMessage>(ledger::NAME)?;
-    let state = service.call(|reply| LedgerMessage::Request(id, reply), Some(LOOK_UP_LIMIT)).await;
+    let state = service.call(|reply| LedgerMessage::RequestState(id, reply), Some(LOOK_UP_LIMIT)).await;
     state.ok()?.success_or(()).ok().flatten()
 }
--- a/havengrade_router/src/traffic/refusal.rs
+++ b/havengrade_router/src/traffic/refusal.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     kernel::Context,
-    services::outbox::Submitted,
+    services::outbox::SubmitOutcome,
     traffic::{Problem, RunState, active_request::Keyed, ledger_client, request_table::End},
 };
 
@@ -30,12 +30,14 @@
         request_id: request_id.to_owned(),
     };
     match ledger_client::submit(cx, record).await {
-        Submitted::Logged(ApplyResult::Applied) => End::Failed(problem),
-        Submitted::Logged(ApplyResult::AlreadyClaimed { request_id, .. }) => {
+        SubmitOutcome::Logged(ApplyResult::Applied) => End::Failed(problem),
+        SubmitOutcome::Logged(ApplyResult::AlreadyClaimed { request_id, .. }) => {
             let state = ledger_client::find_key(cx, keyed.key.clone()).await;
             state.and_then(|state| known(&state, keyed)).unwrap_or(End::PendingElsewhere(request_id))
         },
-        Submitted::Logged(_) | Submitted::Held | Submitted::GivenUp => End::Failed(without_log(keyed, problem)),
+        SubmitOutcome::Logged(_) | SubmitOutcome::Replicated | SubmitOutcome::Cancelled => {
+            End::Failed(without_log(keyed, problem))
+        },
     }
 }
 
--- a/havengrade_router/src/traffic/routes.rs
+++ b/havengrade_router/src/traffic/routes.rs
@@ -260,7 +260,7 @@
         return RequestStatus::Unknown;
     }
     let ask = PeerAsk::new(id.to_owned(), account.to_owned());
-    let Some(PeerReply::Answer(found)) = members::call(cx, vm, PeerRequest::Ask(ask)).await else {
+    let Some(PeerReply::Answer(found)) = members::call_peer(cx, vm, PeerRequest::Ask(ask)).await else {
         return RequestStatus::Unknown;
     };
     match found.state.as_str() {
