--- a/havengrade_router/src/published/active_request.rs
+++ b/havengrade_router/src/published/active_request.rs
@@ -19,7 +19,9 @@
 use hyper::{Version, body::Incoming, header, http::request};
 use tokio::time::timeout;
 
-use crate::published::{context::PublishedContext, ports::RequestAttributes, refusal::Refusal, stopping::is_too_late};
+use crate::published::{
+    context::PublishedContext, ports::RequestAttributes, refusal::Refusal, shutdown::may_outlast_shutdown,
+};
 
 /// Time after which a first event is looked for elsewhere, as a multiple of the route's target.
 const FIRST_EVENT_FACTOR: f64 = 1.5;
@@ -134,7 +136,7 @@
     let account = find_account(cx, &routes, &route, &facts, arrived)?;
     let service = route.service_for(&id).ok_or(Refusal::NoEndpoint)?.clone();
     let patience = facts.time_limit.unwrap_or(route.time_limit).min(route.time_limit);
-    if is_too_late(cx, patience, arrived) {
+    if may_outlast_shutdown(cx, patience, arrived) {
         return Err(Refusal::Stopping);
     }
     let limits = routes.limits();
--- a/havengrade_router/src/published/context.rs
+++ b/havengrade_router/src/published/context.rs
@@ -37,11 +37,11 @@
     net::Network,
     published::{
         connection_pool::ConnectionPool,
+        part_cache::PartCache,
         ports::{Dialect, QuarantineList},
         retry_budgets::RetryBudgets,
+        state_fetch::PendingFetch,
         store_access::StoreAccess,
-        take::ToldMeanwhile,
-        written::WrittenParts,
     },
     settings::{PublishedSettings, Settings},
     shared::lock,
@@ -81,9 +81,9 @@
     /// Whether what is in force is being taken from another VM.
     pub(super) is_receiving_state: AtomicBool,
     /// What was told meanwhile.
-    pub(super) told_meanwhile: Mutex<ToldMeanwhile>,
+    pub(super) pending_fetch: Mutex<PendingFetch>,
     /// What is handed on to other VMs.
-    pub(super) written: Mutex<WrittenParts>,
+    pub(super) part_cache: Mutex<PartCache>,
     /// To whom it is handed on.
     pub(super) transfer_limiter: Mutex<TransferLimiter>,
     /// Tells those who wait that another VM became known.
@@ -136,8 +136,8 @@
             connection_pool: ConnectionPool::new(network, connect_timeout),
             has_received_state: AtomicBool::new(false),
             is_receiving_state: AtomicBool::new(false),
-            told_meanwhile: Mutex::default(),
-            written: Mutex::default(),
+            pending_fetch: Mutex::default(),
+            part_cache: Mutex::default(),
             transfer_limiter: Mutex::default(),
             peer_known: Notify::new(),
             in_progress: AtomicUsize::new(0),
@@ -227,7 +227,7 @@
 
     /// Whether this VM knows what operators wrote, if they wrote anything, and the endpoints.
     pub fn knows_state(&self) -> bool {
-        self.knows_endpoints() && self.store.view().operators.is_some()
+        self.knows_endpoints() && self.store.view().operators_position.is_some()
     }
 
     /// Waits until this VM knows what operators wrote and the endpoints.
@@ -334,7 +334,7 @@
 
     /// When this VM or another one surely was reading the store for those that start, if any was.
     pub fn last_store_read_at(&self, now: SystemTime) -> Option<SystemTime> {
-        if self.store.is_reading(now) { Some(now) } else { self.store_reads().last_read() }
+        if self.store.is_reading_initial_state(now) { Some(now) } else { self.store_reads().last_read() }
     }
 
     /// The operators' bounds on roll-outs.
--- a/havengrade_router/src/published/event_stream.rs
+++ b/havengrade_router/src/published/event_stream.rs
@@ -23,11 +23,11 @@
         connection_pool::EndpointConnection,
         context::PublishedContext,
         endpoint_choice::choose,
+        event_timer::EventTimer,
         outcomes::{
             Awaited, InProgress, count_answer, failure_of, note_broken, note_end, note_first, note_pace, note_session,
             note_session_end, release_session, succeed,
         },
-        pace::Pace,
         quarantine::{may_resume, record_abandoned_attempt, record_answer, record_broken_attempt},
         refusal::{AnswerBody, BodyError},
         rewrite::answer_head,
@@ -77,25 +77,25 @@
     body: Incoming,
     buf: BytesMut,
     in_flight: InFlight,
-    pace: Pace,
+    event_timer: EventTimer,
 }
 
 impl Source {
     fn new(opened: AnsweredAttempt) -> Self {
         let AnsweredAttempt { made, channel, body, in_flight, .. } = opened;
-        Self { made, channel, body, buf: BytesMut::new(), in_flight, pace: Pace::default() }
+        Self { made, channel, body, buf: BytesMut::new(), in_flight, event_timer: EventTimer::default() }
     }
 
     /// Notes that events came.
     fn note_events(&mut self, cx: &PublishedContext, job: &ActiveRequest, events: u32) {
-        if let Some(pause) = self.pace.note(events, cx.shared.clock.now()) {
+        if let Some(pause) = self.event_timer.record_events(events, cx.shared.clock.now()) {
             note_pace(cx, job, &self.made, pause);
         }
     }
 
-    /// Notes the pace of a run that ended before it could be measured, or that nobody waits for any longer.
+    /// Notes the time per event of a run that ended before it could be measured, or that nobody waits for any longer.
     fn note_end_of_events(&mut self, cx: &PublishedContext, job: &ActiveRequest) {
-        if let Some(pause) = self.pace.end(cx.shared.clock.now()) {
+        if let Some(pause) = self.event_timer.finish(cx.shared.clock.now()) {
             note_pace(cx, job, &self.made, pause);
         }
     }
--- a/havengrade_router/src/published/takers.rs
+++ b/havengrade_router/src/published/feed_consumers.rs
@@ -25,12 +25,12 @@
 };
 
 /// Takes what a feed brings.
-pub(super) trait Take<T>: Send + Sync + 'static {
+pub(super) trait FeedConsumer<T>: Send + Sync + 'static {
     /// How long a call of a reader may wait for something new.
-    fn wait(&self, cx: &PublishedContext) -> Duration;
+    fn read_wait(&self, cx: &PublishedContext) -> Duration;
 
     /// Time between two calls of a reader.
-    fn pause(&self, cx: &PublishedContext) -> Duration;
+    fn read_interval(&self, cx: &PublishedContext) -> Duration;
 
     /// Whether what is read grows with the fleet, so that the store can't bear that each VM reads it.
     fn grows_with_fleet(&self) -> bool {
@@ -38,37 +38,37 @@
     }
 
     /// Takes events, up to a position; nothing newer existed at `at`.
-    fn take(&mut self, cx: &PublishedContext, events: Vec<T>, position: u64, at: SystemTime);
+    fn apply(&mut self, cx: &PublishedContext, events: Vec<T>, position: u64, at: SystemTime);
 }
 
 /// Takes operators' configurations and orders.
-pub(super) struct Operators;
+pub(super) struct OperatorConsumer;
 
-impl Take<OperatorEvent> for Operators {
-    fn wait(&self, cx: &PublishedContext) -> Duration {
+impl FeedConsumer<OperatorEvent> for OperatorConsumer {
+    fn read_wait(&self, cx: &PublishedContext) -> Duration {
         Duration::from_millis(cx.shared.published_settings().config_wait_ms)
     }
 
-    fn pause(&self, _cx: &PublishedContext) -> Duration {
+    fn read_interval(&self, _cx: &PublishedContext) -> Duration {
         Duration::ZERO
     }
 
-    fn take(&mut self, cx: &PublishedContext, events: Vec<OperatorEvent>, position: u64, at: SystemTime) {
-        let is_first_read = cx.shared.store.view().operators.is_none();
+    fn apply(&mut self, cx: &PublishedContext, events: Vec<OperatorEvent>, position: u64, at: SystemTime) {
+        let is_first_read = cx.shared.store.view().operators_position.is_none();
         let mut publications = Vec::new();
         for event in events {
             match event {
                 OperatorEvent::Publication(publication) => publications.push(publication),
-                OperatorEvent::Rollout(order) => take_order(cx, order, is_first_read),
-                OperatorEvent::Domains(event) => take_domains(cx, event),
+                OperatorEvent::Rollout(order) => apply_order(cx, order, is_first_read),
+                OperatorEvent::Domains(event) => apply_domains(cx, event),
             }
         }
         // Last, since callers are let in once there is a configuration.
         for publication in publications {
-            publish(cx, publication);
+            activate(cx, publication);
         }
-        cx.shared.store.view().operators = Some(position);
-        cx.shared.store.note_era(era(position));
+        cx.shared.store.view().operators_position = Some(position);
+        cx.shared.store.record_era(era(position));
         cx.shared.confirm_config(at);
         if is_first_read {
             cx.shared.notify_state_learned();
@@ -77,19 +77,19 @@
 }
 
 /// Takes up an order to roll out a version.
-fn take_order(cx: &PublishedContext, order: RolloutOrder, is_old: bool) {
+fn apply_order(cx: &PublishedContext, order: RolloutOrder, is_from_before_start: bool) {
     let line = format!("{} to {}", order.service, order.version);
     if cx.shared.rollouts().add_order(order, cx.shared.clock.now()) {
         log::info!(order = line.as_str(); "roll-out ordered");
     }
-    if is_old {
+    if is_from_before_start {
         cx.shared.rollouts().set_has_earlier_orders();
         rollouts::evaluate_soon(cx);
     }
 }
 
 /// Takes which failure domains are emptied, and which are taken back.
-fn take_domains(cx: &PublishedContext, event: DomainEvent) {
+fn apply_domains(cx: &PublishedContext, event: DomainEvent) {
     let mut domains = EmptiedDomains::clone(&cx.shared.emptied_domains.load());
     let (emptied, refilled) = domains.apply(event, cx.shared.clock.now());
     cx.shared.emptied_domains.store(Arc::new(domains));
@@ -102,7 +102,7 @@
 }
 
 /// Puts a configuration in force, unless a newer one is.
-fn publish(cx: &PublishedContext, publication: Publication) {
+fn activate(cx: &PublishedContext, publication: Publication) {
     let known = cx.shared.routes.load().version();
     if publication.version <= known {
         return;
@@ -115,18 +115,18 @@
 
 /// Takes changes of the list of endpoints; of a large service only a part is shown to traffic and told to other VMs.
 #[derive(Default)]
-pub(super) struct Endpoints {
+pub(super) struct EndpointConsumer {
     directory: Directory,
     subset: EndpointSubset,
 }
 
-impl Take<DirectoryEvent> for Endpoints {
-    fn wait(&self, _cx: &PublishedContext) -> Duration {
+impl FeedConsumer<DirectoryEvent> for EndpointConsumer {
+    fn read_wait(&self, _cx: &PublishedContext) -> Duration {
         // Endpoints write all the time, so that a call would hardly wait; calls are paused in between instead.
         Duration::ZERO
     }
 
-    fn pause(&self, cx: &PublishedContext) -> Duration {
+    fn read_interval(&self, cx: &PublishedContext) -> Duration {
         Duration::from_millis(cx.shared.published_settings().endpoints_poll_ms)
     }
 
@@ -134,25 +134,25 @@
         true
     }
 
-    fn take(&mut self, cx: &PublishedContext, events: Vec<DirectoryEvent>, position: u64, at: SystemTime) {
+    fn apply(&mut self, cx: &PublishedContext, events: Vec<DirectoryEvent>, position: u64, at: SystemTime) {
         let now = cx.shared.clock.now();
-        let gone = self.used_and_gone(&events);
+        let gone = self.removed_in_use(&events);
         let (changes, has_changed) = self.directory.apply(events, at, now);
         let is_resized = has_changed && self.resize(cx);
-        let changes = self.used_changes(changes, &gone, is_resized, now);
+        let changes = self.changes_in_use(changes, &gone, is_resized, now);
         {
             let mut view = cx.shared.store.view();
             if !changes.is_empty() || has_changed {
                 let used = self.directory.listed(now).into_iter().filter(|endpoint| self.subset.includes(endpoint));
-                view.listed = used.collect();
+                view.listed_endpoints = used.collect();
             }
-            let listed = view.listed.len();
-            view.endpoints.record(&changes, position, listed);
+            let listed = view.listed_endpoints.len();
+            view.endpoint_changes.record(&changes, position, listed);
             view.is_restoring = self.directory.is_restoring(now);
-            view.endpoints_at = view.endpoints_at.max(at);
+            view.endpoints_confirmed_at = view.endpoints_confirmed_at.max(at);
         }
         if has_changed {
-            self.show(cx);
+            self.publish_usable(cx);
             cx.shared.send_limits().retain_listed(self.directory.all(), now);
         }
         cx.shared.set_endpoints_known();
@@ -162,20 +162,20 @@
     }
 }
 
-impl Endpoints {
+impl EndpointConsumer {
     /// Chooses anew how much of the list is used; tells whether that changes.
     fn resize(&mut self, cx: &PublishedContext) -> bool {
         let next = self.subset.resized(self.directory.all(), cx.shared.peers().len() + 1);
         let is_resized = next != self.subset;
         if is_resized {
-            log_part(&self.directory, &next);
+            log_subset(&self.directory, &next);
         }
         self.subset = next;
         is_resized
     }
 
     /// Endpoints that go by these events, of those that are used.
-    fn used_and_gone(&self, events: &[DirectoryEvent]) -> HashSet<EndpointId> {
+    fn removed_in_use(&self, events: &[DirectoryEvent]) -> HashSet<EndpointId> {
         let gone = events.iter().filter_map(|event| match event {
             DirectoryEvent::Gone(id) => self.directory.get(id),
             DirectoryEvent::Seen(_) | DirectoryEvent::All(_) | DirectoryEvent::Restored(_) => None,
@@ -184,7 +184,7 @@
     }
 
     /// What others are told of changes: of those that are used, or the whole list of these where others are used from now on.
-    fn used_changes(
+    fn changes_in_use(
         &self,
         changes: Vec<DirectoryEvent>,
         gone: &HashSet<EndpointId>,
@@ -208,7 +208,7 @@
     }
 
     /// Shows the endpoints that are used to traffic.
-    fn show(&self, cx: &PublishedContext) {
+    fn publish_usable(&self, cx: &PublishedContext) {
         let now = cx.shared.clock.now();
         cx.shared.send_limits().cold.set(self.directory.cold(now));
         let used = || self.directory.all().filter(|endpoint| self.subset.includes(endpoint));
@@ -226,7 +226,7 @@
 }
 
 /// Tells how much of the list is used, where this VM knows more; one that was told a part uses all of that.
-fn log_part(directory: &Directory, subset: &EndpointSubset) {
+fn log_subset(directory: &Directory, subset: &EndpointSubset) {
     let used = directory.all().filter(|endpoint| subset.includes(endpoint)).count();
     if used < directory.len() {
         log::info!(listed = directory.len(), used = used; "another part of the list of endpoints is used");
@@ -234,11 +234,11 @@
 }
 
 /// Endpoints that one line names: a line for all of a large fleet would be as long as its list.
-const MAX_NAMED: usize = 64;
+const MAX_LOGGED_ENDPOINTS: usize = 64;
 
 fn log_changes(before: &EndpointsByService, after: &EndpointsByService) {
-    let (gained, gained_more) = names_missing_in(before, after);
-    let (lost, lost_more) = names_missing_in(after, before);
+    let (gained, gained_more) = endpoints_missing_in(before, after);
+    let (lost, lost_more) = endpoints_missing_in(after, before);
     log::info!(
         gained = gained.as_str(),
         lost = lost.as_str(),
@@ -249,11 +249,11 @@
 }
 
 /// Endpoints of `other` that are missing in `known`: the names of some, and how many more there are.
-fn names_missing_in(known: &EndpointsByService, other: &EndpointsByService) -> (String, usize) {
+fn endpoints_missing_in(known: &EndpointsByService, other: &EndpointsByService) -> (String, usize) {
     let known: HashSet<&str> = known.values().flatten().map(|endpoint| endpoint.id.as_str()).collect();
     let missing: Vec<&ListedEndpoint> =
         other.values().flatten().filter(|endpoint| !known.contains(endpoint.id.as_str())).collect();
-    let named = missing.iter().take(MAX_NAMED);
+    let named = missing.iter().take(MAX_LOGGED_ENDPOINTS);
     let names: Vec<String> = named.map(|endpoint| format!("{}@{}", endpoint.id, endpoint.version)).collect();
     (names.join(","), missing.len() - names.len())
 }
--- a/havengrade_router/src/published/vms.rs
+++ b/havengrade_router/src/published/known_vms.rs
@@ -8,11 +8,11 @@
 use crate::published::{
     context::PublishedContext,
     ports::{Roster, StoreError},
-    take::{Wanted, take},
+    state_fetch::{FetchTarget, fetch},
 };
 
 /// Where the VMs that are known hear reports.
-pub(super) fn addresses(cx: &PublishedContext) -> Vec<SocketAddr> {
+pub(super) fn peer_addresses(cx: &PublishedContext) -> Vec<SocketAddr> {
     cx.shared.peers().all().map(|peer| peer.address).collect()
 }
 
@@ -30,16 +30,16 @@
 }
 
 /// Asks one of the VMs that read the store whom it knows.
-pub(super) async fn ask_one(cx: &PublishedContext) -> bool {
-    let Some(other) = any_reader(cx) else { return false };
-    let taken = take(cx, other, Wanted::Vms).await;
-    if let Err(error) = &taken {
+pub(super) async fn ask_reader(cx: &PublishedContext) -> bool {
+    let Some(other) = random_reader(cx) else { return false };
+    let fetched = fetch(cx, other, FetchTarget::Vms).await;
+    if let Err(error) = &fetched {
         log::info!("{other} did not tell whom it knows: {error}");
     }
-    taken.is_ok()
+    fetched.is_ok()
 }
 
-fn any_reader(cx: &PublishedContext) -> Option<SocketAddr> {
+fn random_reader(cx: &PublishedContext) -> Option<SocketAddr> {
     let me = &cx.shared.settings.vm.id;
     let peers = cx.shared.peers();
     let vms = peers.all().map(|peer| &peer.vm).chain([me]);
--- a/havengrade_router/src/published/peers.rs
+++ b/havengrade_router/src/published/peers.rs
@@ -27,7 +27,7 @@
         context::PublishedContext,
         quarantine::announce_changes,
         signals::merge_reported_signals,
-        store_view::{Questions, answer, hint},
+        store_queries::{StoreQueries, answer_query, change_hint},
         wire::{Report, decode_report, encode_report},
     },
     services::send_periodically,
@@ -94,7 +94,7 @@
 struct PeersState {
     cx: PublishedContext,
     socket: Arc<dyn Datagrams>,
-    questions: Arc<Mutex<Questions>>,
+    questions: Arc<Mutex<StoreQueries>>,
     seq: u64,
     /// Position in operators' records of which the others were told.
     hinted: Option<u64>,
@@ -115,7 +115,7 @@
         arguments: Arguments,
     ) -> Result<PeersState, ActorProcessingErr> {
         let Arguments { cx, socket } = arguments;
-        let questions = Arc::new(Mutex::new(Questions::default()));
+        let questions = Arc::new(Mutex::new(StoreQueries::default()));
         let tasks = [
             send_periodically(myself, LOOK_EVERY, || PeersMessage::Look),
             AbortOnDropHandle::new(tokio::spawn(receive(cx.clone(), socket.clone(), questions.clone()))),
@@ -190,22 +190,22 @@
 
     /// Tells all others that operators wrote something, where this VM reads the store for them, or that it does so now.
     async fn hint(&mut self, now: SystemTime) {
-        let position = self.cx.shared.store.view().operators;
-        let is_offer = self.cx.shared.store.is_volunteer() && !self.has_offered;
-        self.has_offered = self.cx.shared.store.is_volunteer();
+        let position = self.cx.shared.store.view().operators_position;
+        let is_offer = self.cx.shared.store.is_fallback_reader() && !self.has_offered;
+        self.has_offered = self.cx.shared.store.is_fallback_reader();
         if !is_offer && (position <= self.hinted || !self.cx.shared.store.is_reader()) {
             return;
         }
         self.hinted = position;
         let to: Vec<SocketAddr> = self.cx.shared.peers().all().map(|peer| peer.address).collect();
-        if let Some(hint) = hint(&self.cx, now) {
+        if let Some(hint) = change_hint(&self.cx, now) {
             send(&*self.socket, &Datagram::Answer(hint), &to).await;
         }
     }
 
     /// Asks a VM that reads the store, if it is time.
     async fn ask(&self, now: SystemTime) {
-        let question = lock(&self.questions).next(&self.cx, now);
+        let question = lock(&self.questions).next_query(&self.cx, now);
         if let Some((question, to)) = question {
             send(&*self.socket, &Datagram::Question(question), &[to]).await;
         }
@@ -261,7 +261,7 @@
 }
 
 /// Takes the other VMs' datagrams.
-async fn receive(cx: PublishedContext, socket: Arc<dyn Datagrams>, questions: Arc<Mutex<Questions>>) {
+async fn receive(cx: PublishedContext, socket: Arc<dyn Datagrams>, questions: Arc<Mutex<StoreQueries>>) {
     let mut buf = vec![0; MAX_DATAGRAM];
     loop {
         let length = match socket.receive(&mut buf).await {
@@ -277,7 +277,7 @@
             Ok(Datagram::Report(report)) => take_report(&cx, report, now),
             Ok(Datagram::Greeting(greeting)) => take_greeting(&cx, greeting, now),
             Ok(Datagram::Question(question)) => answer_question(&cx, &*socket, &question, now).await,
-            Ok(Datagram::Answer(answer)) => lock(&questions).take(&cx, answer),
+            Ok(Datagram::Answer(answer)) => lock(&questions).apply_answer(&cx, answer),
             Err(error) => log::warn!("a datagram can't be read and is passed over: {error}"),
         }
     }
@@ -287,7 +287,7 @@
     let Ok(to) = question.address.parse::<SocketAddr>() else {
         return log::warn!("a question names no address and is passed over");
     };
-    if let Some(answer) = answer(cx, question, now) {
+    if let Some(answer) = answer_query(cx, question, now) {
         send(socket, &Datagram::Answer(answer), &[to]).await;
     }
 }
--- a/havengrade_router/src/published/quarantine.rs
+++ b/havengrade_router/src/published/quarantine.rs
@@ -280,7 +280,7 @@
                 self.eras.mark_unchanged();
                 self.restore_entries().await;
             }
-            if self.cx.shared.store.follows() && !self.cx.shared.quarantine().is_loaded() {
+            if self.cx.shared.store.may_read() && !self.cx.shared.quarantine().is_loaded() {
                 self.load(now).await;
             }
             let unstored = self.cx.shared.quarantine().unstored();
--- a/havengrade_router/src/published/roster.rs
+++ b/havengrade_router/src/published/registration.rs
@@ -12,43 +12,43 @@
 
 use crate::published::{
     context::PublishedContext,
+    known_vms::{ask_reader, peer_addresses, read_list},
     peers::greet,
     ports::Roster,
-    starting::{find_others, learn_state},
-    vms::{addresses, ask_one, read_list},
+    startup::{discover_vms, learn_state},
 };
 
 /// Times of the first looks after a start: some enter after the list was read first, and while they do, VMs don't agree yet on
 /// who reads the store.
-const SETTLE: [Duration; 2] = [Duration::from_millis(1000), Duration::from_millis(4000)];
+const EARLY_REFRESHES: [Duration; 2] = [Duration::from_millis(1000), Duration::from_millis(4000)];
 /// Time between two reads of the kept list while no other VM is known.
-const LONELY: Duration = Duration::from_secs(2);
+const ALONE_INTERVAL: Duration = Duration::from_secs(2);
 /// Time between two looks at the list; in between, VMs that start tell all others of themselves.
-const LOOK_EVERY: Duration = Duration::from_secs(60);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(60);
 /// Readers that are asked for the VMs that they know, one after the other.
-const ASKED: usize = 2;
+const MAX_READERS_ASKED: usize = 2;
 /// Part of that time by which the VMs of a fleet are spread.
-const LOOK_SPREAD: f64 = 0.5;
+const REFRESH_JITTER: f64 = 0.5;
 
 /// Enters this VM on the kept list, learns of the others and of what is in force, and leaves the list at a planned stop.
-pub(super) async fn keep_roster(cx: PublishedContext, roster: Box<dyn Roster>) {
+pub(super) async fn maintain_registration(cx: PublishedContext, roster: Box<dyn Roster>) {
     let me = cx.own_peer();
     let known = async {
         // At the first start of all the list is empty, and nobody knows who reads the store until all are on it.
-        let mut is_entered = cx.shared.settings.published.is_first_start && enter_first(&*roster, &me).await;
-        find_others(&cx, &*roster).await;
+        let mut is_registered = cx.shared.settings.published.is_first_start && try_register(&*roster, &me).await;
+        discover_vms(&cx, &*roster).await;
         // Alone, a VM must be on the list before others look. Otherwise callers come first: the list takes one entry a
         // millisecond, and whoever reads it waits for those before.
-        if !is_entered && cx.shared.peers().is_empty() {
-            enter(&cx, &*roster, &me).await;
-            is_entered = true;
+        if !is_registered && cx.shared.peers().is_empty() {
+            register_with_retries(&cx, &*roster, &me).await;
+            is_registered = true;
         }
         learn_state(&cx, &*roster).await;
-        if !is_entered {
-            sleep(until_entry(&cx)).await;
-            enter(&cx, &*roster, &me).await;
+        if !is_registered {
+            sleep(registration_delay(&cx)).await;
+            register_with_retries(&cx, &*roster, &me).await;
         }
-        tokio::join!(look_on(&cx, &*roster), enter_again(&cx, &*roster, &me));
+        tokio::join!(refresh_known_vms(&cx, &*roster), register_after_restores(&cx, &*roster, &me));
     };
     cx.graceful_shutdown.run_until_cancelled(known).await;
     if let Err(error) = roster.deregister(&me.vm).await {
@@ -57,44 +57,44 @@
 }
 
 /// Time that this VM leaves to others for their entries.
-fn until_entry(cx: &PublishedContext) -> Duration {
+fn registration_delay(cx: &PublishedContext) -> Duration {
     registration_spread(cx.shared.peers().len()).mul_f64(cx.shared.rng().random::<f64>())
 }
 
 /// Enters this VM before anything else; tells whether that was done.
-async fn enter_first(roster: &dyn Roster, me: &Peer) -> bool {
-    let entered = roster.register(me).await;
-    if let Err(error) = &entered {
+async fn try_register(roster: &dyn Roster, me: &Peer) -> bool {
+    let registered = roster.register(me).await;
+    if let Err(error) = &registered {
         log::warn!("this VM is not on the list of VMs yet, others are looked for: {error}");
     }
-    entered.is_ok()
+    registered.is_ok()
 }
 
-async fn enter(cx: &PublishedContext, roster: &dyn Roster, me: &Peer) {
+async fn register_with_retries(cx: &PublishedContext, roster: &dyn Roster, me: &Peer) {
     while let Err(error) = roster.register(me).await {
-        let waited = cx.shared.uptime(cx.shared.clock.now());
-        let pause = retry_delay(waited, &mut *cx.shared.rng());
+        let uptime = cx.shared.uptime(cx.shared.clock.now());
+        let pause = retry_delay(uptime, &mut *cx.shared.rng());
         log::warn!("this VM is not on the list of VMs yet, {} ms until the next try: {error}", pause.as_millis());
         sleep(pause).await;
     }
 }
 
 /// Enters this VM again whenever the store has come back from an older copy, which may not hold its entry.
-async fn enter_again(cx: &PublishedContext, roster: &dyn Roster, me: &Peer) {
+async fn register_after_restores(cx: &PublishedContext, roster: &dyn Roster, me: &Peer) {
     let mut eras = cx.shared.store.eras();
     while eras.changed().await.is_ok() {
-        sleep(until_entry(cx)).await;
-        enter(cx, roster, me).await;
+        sleep(registration_delay(cx)).await;
+        register_with_retries(cx, roster, me).await;
     }
 }
 
 /// Learns of others now and then: of a VM that is known, or else from the kept list.
-async fn look_on(cx: &PublishedContext, roster: &dyn Roster) {
-    let mut settle = SETTLE.into_iter();
+async fn refresh_known_vms(cx: &PublishedContext, roster: &dyn Roster) {
+    let mut early = EARLY_REFRESHES.into_iter();
     loop {
-        let usual = if cx.shared.peers().is_empty() { LONELY } else { LOOK_EVERY };
-        sleep(spread(cx, settle.next().unwrap_or(usual))).await;
-        let known: HashSet<SocketAddr> = addresses(cx).into_iter().collect();
+        let interval = if cx.shared.peers().is_empty() { ALONE_INTERVAL } else { REFRESH_INTERVAL };
+        sleep(add_jitter(cx, early.next().unwrap_or(interval))).await;
+        let known: HashSet<SocketAddr> = peer_addresses(cx).into_iter().collect();
         // Those that read the store look at the kept list itself; what they learn the others ask for.
         let knows_all = cx.shared.peers().is_list_loaded() && !known.is_empty();
         if !cx.uses_state_transfer || cx.shared.store.is_reader() || !knows_all {
@@ -102,29 +102,29 @@
                 log::warn!("the list of VMs could not be read: {error}");
             }
         } else {
-            sleep(until_entry(cx)).await;
-            ask_any(cx, roster).await;
+            sleep(registration_delay(cx)).await;
+            ask_readers(cx, roster).await;
         }
         // Whoever was not known may not know this VM either.
-        greet(cx, addresses(cx).into_iter().filter(|address| !known.contains(address)).collect());
+        greet(cx, peer_addresses(cx).into_iter().filter(|address| !known.contains(address)).collect());
     }
 }
 
 /// Asks those that read the store whom they know. Where none tells, it reads the list itself with a chance by which, of a whole fleet, as many do
 /// as there are readers.
-async fn ask_any(cx: &PublishedContext, roster: &dyn Roster) {
-    for _ in 0..ASKED {
-        if ask_one(cx).await {
+async fn ask_readers(cx: &PublishedContext, roster: &dyn Roster) {
+    for _ in 0..MAX_READERS_ASKED {
+        if ask_reader(cx).await {
             return;
         }
     }
     let vms = cx.shared.peers().len() + 1;
-    let is_turn = cx.shared.rng().random_range(0..vms) < reader_count(vms);
-    if is_turn && let Err(error) = read_list(cx, roster).await {
+    let may_read = cx.shared.rng().random_range(0..vms) < reader_count(vms);
+    if may_read && let Err(error) = read_list(cx, roster).await {
         log::warn!("the list of VMs could not be read, and nobody told it: {error}");
     }
 }
 
-fn spread(cx: &PublishedContext, pause: Duration) -> Duration {
-    pause.mul_f64(1.0 + LOOK_SPREAD * cx.shared.rng().random::<f64>())
+fn add_jitter(cx: &PublishedContext, pause: Duration) -> Duration {
+    pause.mul_f64(1.0 + REFRESH_JITTER * cx.shared.rng().random::<f64>())
 }
--- a/havengrade_router/src/published/router.rs
+++ b/havengrade_router/src/published/router.rs
@@ -25,15 +25,15 @@
     net::Listener,
     published::{
         context::{PublishedContext, PublishedState},
-        follow::FollowService,
-        hand_on::serve_state,
+        feed_reader::FeedService,
         peers::PeersService,
         ports::Ports,
         quarantine::sync_quarantine_list,
+        registration::maintain_registration,
         rollouts::RolloutService,
-        roster::keep_roster,
         server::{metrics_page, readiness, serve_callers, serve_page},
-        stopping::{BALANCER_NOTICE, stop_limit},
+        shutdown::{BALANCER_NOTICE_TIME, shutdown_deadline},
+        state_server::serve_state,
     },
     router::Parts,
     settings::Settings,
@@ -80,12 +80,13 @@
         let metrics = bind(&cx, "published.metrics", settings.published.metrics).await?;
         let services: Vec<Box<dyn Service<PublishedContext>>> = vec![
             Box::new(RolloutService::new(statuses)),
-            Box::new(FollowService::operators(operators)),
-            Box::new(FollowService::endpoints(endpoints)),
+            Box::new(FeedService::operators(operators)),
+            Box::new(FeedService::endpoints(endpoints)),
             Box::new(PeersService),
         ];
         let kernel = Kernel::start(services, &cx).await?;
-        cx.tracked_tasks.spawn(cx.forced_shutdown.clone().run_until_cancelled_owned(keep_roster(cx.clone(), roster)));
+        cx.tracked_tasks
+            .spawn(cx.forced_shutdown.clone().run_until_cancelled_owned(maintain_registration(cx.clone(), roster)));
         cx.tracked_tasks.spawn(cx.forced_shutdown.clone().run_until_cancelled_owned(sync_quarantine_list(cx.clone())));
         let mut servers = Vec::new();
         if uses_state_transfer {
@@ -126,7 +127,7 @@
         let state = DrainState::Draining { since };
         loop {
             let unfinished = self.cx.tracked_tasks.len().max(self.cx.shared.in_progress.load(Ordering::Acquire));
-            match state.step(unfinished, stop_limit(&self.cx), self.cx.shared.clock.now()) {
+            match state.step(unfinished, shutdown_deadline(&self.cx), self.cx.shared.clock.now()) {
                 DrainStep::Serve | DrainStep::Wait => sleep(DRAIN_LOOK).await,
                 DrainStep::Stop => return true,
                 DrainStep::StopAtDeadline => return false,
@@ -136,7 +137,7 @@
 
     /// Serves on until the balancer has noticed that this VM is no longer ready.
     async fn wait_for_balancer(&self, since: SystemTime) {
-        let notice = BALANCER_NOTICE.min(stop_limit(&self.cx));
+        let notice = BALANCER_NOTICE_TIME.min(shutdown_deadline(&self.cx));
         let passed = self.cx.shared.clock.now().duration_since(since).unwrap_or_default();
         sleep(notice.saturating_sub(passed)).await;
     }
--- a/havengrade_router/src/published/server.rs
+++ b/havengrade_router/src/published/server.rs
@@ -156,7 +156,7 @@
 /// The metrics of the process, with the present ages of what this VM believes.
 pub(super) fn metrics_page(cx: &PublishedContext) -> Response<AnswerBody> {
     let now = cx.shared.clock.now();
-    let endpoints_age = now.duration_since(cx.shared.store.view().endpoints_at).unwrap_or_default();
+    let endpoints_age = now.duration_since(cx.shared.store.view().endpoints_confirmed_at).unwrap_or_default();
     metrics::gauge!("configuration_age_seconds").set(cx.shared.config_age(now).unwrap_or_default().as_secs_f64());
     metrics::gauge!("endpoints_age_seconds").set(endpoints_age.as_secs_f64());
     metrics::gauge!("vms_known").set(cx.shared.peers().len() as f64);
--- a/havengrade_router/src/published/starting.rs
+++ b/havengrade_router/src/published/startup.rs
@@ -10,42 +10,43 @@
 
 use crate::published::{
     context::PublishedContext,
-    follow, peers,
+    feed_reader,
+    known_vms::{peer_addresses, read_list},
+    peers,
     ports::Roster,
-    take::{Wanted, take},
-    vms::{addresses, read_list},
+    state_fetch::{FetchTarget, fetch},
 };
 
 /// Longest time between two rounds of questions, for a VM that nobody tells and that reads the store itself.
-const MAX_ROUND: Duration = Duration::from_millis(800);
+const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(800);
 
 /// How much longer VMs spread their looks at the list of VMs at the first start of all: it is long, and whoever reads it greets the others.
-const FIRST_SPREAD: u32 = 8;
+const FIRST_START_SPREAD: u32 = 8;
 
 /// Learns what is in force, and then lets the services follow the store.
 pub(super) async fn learn_state(cx: &PublishedContext, roster: &dyn Roster) {
-    learn(cx, roster).await;
-    follow::begin(cx);
+    fetch_initial_state(cx, roster).await;
+    feed_reader::start_reading(cx);
     log::info!(vms = cx.shared.peers().len(); "what is in force is known");
 }
 
 /// Waits until another VM is heard, or the list of VMs is read; whoever reads it greets the others.
-pub(super) async fn find_others(cx: &PublishedContext, roster: &dyn Roster) {
+pub(super) async fn discover_vms(cx: &PublishedContext, roster: &dyn Roster) {
     if !cx.uses_state_transfer {
         // What is followed costs nothing, and nobody hands it on.
-        follow::begin(cx);
+        feed_reader::start_reading(cx);
     }
     let mut pause = listen_time(&mut *cx.shared.rng());
     if cx.shared.settings.published.is_first_start {
         // Until the others are on the list as well.
-        pause = FIRST_START_LISTEN_TIME + pause * FIRST_SPREAD;
+        pause = FIRST_START_LISTEN_TIME + pause * FIRST_START_SPREAD;
     }
     while timeout(pause, cx.shared.wait_for_peer()).await.is_err() {
         match read_list(cx, roster).await {
-            Ok(()) => return peers::greet(cx, addresses(cx)),
+            Ok(()) => return peers::greet(cx, peer_addresses(cx)),
             Err(error) => {
-                let waited = cx.shared.uptime(cx.shared.clock.now());
-                pause = retry_delay(waited, &mut *cx.shared.rng());
+                let uptime = cx.shared.uptime(cx.shared.clock.now());
+                pause = retry_delay(uptime, &mut *cx.shared.rng());
                 log::warn!("the list of VMs could not be read, {} ms until the next try: {error}", pause.as_millis());
             },
         }
@@ -53,22 +54,22 @@
 }
 
 /// Asks others, round by round, until this VM knows what is in force.
-async fn learn(cx: &PublishedContext, roster: &dyn Roster) {
+async fn fetch_initial_state(cx: &PublishedContext, roster: &dyn Roster) {
     let asked = cx.shared.clock.now();
     let mut pause = ROUND_INTERVAL;
     for round in 0.. {
         if ask_round(cx, round).await {
             return;
         }
-        let step = starting(cx, |starting| starting.next_step(asked, cx.shared.clock.now()));
+        let step = with_starting_vm(cx, |starting| starting.next_step(asked, cx.shared.clock.now()));
         match step {
             NextStep::Ask => {},
-            NextStep::ReadVmList => find_all(cx, roster).await,
+            NextStep::ReadVmList => read_list_and_greet(cx, roster).await,
             NextStep::ReadStore => {
-                cx.shared.store.begin_reading(cx.shared.clock.now());
-                learn_all(cx, roster).await;
-                follow::begin(cx);
-                pause = (pause * 2).min(MAX_ROUND);
+                cx.shared.store.start_initial_read(cx.shared.clock.now());
+                load_vm_list(cx, roster).await;
+                feed_reader::start_reading(cx);
+                pause = (pause * 2).min(MAX_ROUND_INTERVAL);
             },
         }
         if timeout(pause, cx.shared.wait_for_state()).await.is_ok() {
@@ -78,15 +79,15 @@
 }
 
 /// Reads the list of VMs where nobody tells anything, and greets all on it.
-async fn find_all(cx: &PublishedContext, roster: &dyn Roster) {
+async fn read_list_and_greet(cx: &PublishedContext, roster: &dyn Roster) {
     match read_list(cx, roster).await {
-        Ok(()) => peers::greet(cx, addresses(cx)),
+        Ok(()) => peers::greet(cx, peer_addresses(cx)),
         Err(error) => log::warn!("nobody tells what is in force, and the list of VMs could not be read: {error}"),
     }
 }
 
 /// Learns of all VMs, since whom this one hands on to takes them from it as well.
-async fn learn_all(cx: &PublishedContext, roster: &dyn Roster) {
+async fn load_vm_list(cx: &PublishedContext, roster: &dyn Roster) {
     if !cx.shared.peers().is_list_loaded()
         && let Err(error) = read_list(cx, roster).await
     {
@@ -95,15 +96,15 @@
 }
 
 /// What follows from this VM's start and what it knows of the others.
-fn starting<T>(cx: &PublishedContext, decide: impl FnOnce(StartingVm<'_>) -> T) -> T {
+fn with_starting_vm<T>(cx: &PublishedContext, decide: impl FnOnce(StartingVm<'_>) -> T) -> T {
     let me = cx.own_peer();
     let peers = cx.shared.peers();
-    let news = cx.shared.store_reads();
+    let store_reads = cx.shared.store_reads();
     decide(StartingVm {
         me: &me,
         others: peers.all().collect(),
         is_list_loaded: peers.is_list_loaded(),
-        store_reads: &news,
+        store_reads: &store_reads,
     })
 }
 
@@ -112,11 +113,11 @@
     if !cx.uses_state_transfer {
         return false;
     }
-    let asked: Vec<SocketAddr> = starting(cx, |starting| starting.peers_to_ask(round, &mut *cx.shared.rng()));
+    let asked: Vec<SocketAddr> = with_starting_vm(cx, |starting| starting.peers_to_ask(round, &mut *cx.shared.rng()));
     let mut answers: FuturesUnordered<_> =
-        asked.into_iter().map(|from| async move { (from, take(cx, from, Wanted::Everything).await) }).collect();
-    while let Some((from, taken)) = answers.next().await {
-        match taken {
+        asked.into_iter().map(|from| async move { (from, fetch(cx, from, FetchTarget::Everything).await) }).collect();
+    while let Some((from, fetched)) = answers.next().await {
+        match fetched {
             Ok(()) => return true,
             Err(error) => log::debug!("{from} did not tell what is in force: {error}"),
         }
--- /dev/null
+++ b/havengrade_router/src/published/state_fetch.rs
@@ -0,0 +1,321 @@
+//! Taking what is in force from another VM.
+
+use std::{
+    io,
+    net::SocketAddr,
+    sync::atomic::Ordering,
+    time::{Duration, SystemTime},
+};
+
+use bytes::{Bytes, BytesMut};
+use futures::{SinkExt as _, StreamExt as _};
+use havengrade_core::published::{
+    directory::DirectoryEvent,
+    relay::{confirmed_at, peer_rounds_before_read},
+};
+use havengrade_rpc::{
+    FramedStream, RpcError, framed,
+    reports::{StateHead, StatePart, StateQuestion},
+};
+use rand::seq::IteratorRandom as _;
+use serde::de::DeserializeOwned;
+use snafu::{OptionExt as _, ResultExt as _, Snafu, ensure};
+use tokio::time::{sleep, timeout};
+
+use crate::{
+    net::BoxConnection,
+    published::{
+        context::PublishedContext,
+        feed_reader::{ENDPOINT_FEED, FeedMessage, OPERATOR_FEED, RelayedEvents, find_service, send},
+        ports::OperatorEvent,
+        quarantine::announce_changes,
+        rollouts::merge_rollouts,
+        signals::merge_reported_signals,
+        state_parts::{EndpointsPart, OperatorsPart, VmsPart, inflate_json},
+        state_server::{FRAME_TIMEOUT, MAX_FRAME_BYTES},
+        wire::{decode_baseline, decode_quarantine, decode_rollout, decode_signals, from_i64, to_i64},
+    },
+    shared::lock,
+};
+
+/// Largest deflated text of a part, in bytes: what 12,000 endpoints need, eight times over.
+const MAX_PART_BYTES: u64 = 4 << 20;
+/// Time in which a connection to another VM is up; a VM without power never answers.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// VMs that name another one in turn, at most.
+const MAX_REDIRECTS: usize = 6;
+/// Time between two of a VM's takings, so that a storm of changes is fetched in few of them.
+const FETCH_INTERVAL: Duration = Duration::from_millis(300);
+
+/// Why another VM did not hand on what is in force.
+#[derive(Debug, Snafu)]
+pub(super) enum FetchError {
+    #[snafu(display("no connection: {source}"))]
+    Connect { source: io::Error },
+    #[snafu(display("it ended the connection"))]
+    Closed,
+    #[snafu(display("the connection broke: {source}"))]
+    Broken { source: io::Error },
+    #[snafu(display("its message can't be read: {source}"))]
+    Message { source: RpcError },
+    #[snafu(display("it names an address that can't be read: {address}"))]
+    Address { address: String },
+    #[snafu(display("its text of {bytes} bytes is too long"))]
+    TooLong { bytes: u64 },
+    #[snafu(display("its text can't be read: {source}"))]
+    Part { source: serde_json::Error },
+    #[snafu(display("it knows nothing yet"))]
+    Unavailable,
+    #[snafu(display("it knows less than was reported"))]
+    Outdated,
+    #[snafu(display("it took too long"))]
+    Timeout,
+    #[snafu(display("too many VMs named another one"))]
+    TooManyRedirects,
+}
+
+/// What is asked_at for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum FetchTarget {
+    /// What operators wrote, up to a position at least, and whatever else is newer.
+    Operators(u64),
+    /// The list of endpoints, up to a position at least, and whatever else is newer.
+    Endpoints(u64),
+    /// Everything, and the list of VMs.
+    Everything,
+    /// The list of VMs only.
+    Vms,
+}
+
+/// What a VM reported of while other news were fetched.
+pub(super) type PendingFetch = Option<(SocketAddr, FetchTarget)>;
+
+/// Takes what a VM reported of from it or another one that knows it, or else from the store.
+pub(super) fn fetch_update(cx: &PublishedContext, from: SocketAddr, target: FetchTarget) {
+    if cx.shared.is_receiving_state.swap(true, Ordering::AcqRel) {
+        return queue_fetch(cx, from, target);
+    }
+    let cx = cx.clone();
+    tokio::spawn(async move {
+        let mut next = Some((from, target));
+        while let Some((from, target)) = next {
+            fetch_from_any(&cx, from, target).await;
+            sleep(FETCH_INTERVAL).await;
+            let reported = lock(&cx.shared.pending_fetch).take();
+            next = reported.filter(|(_, target)| is_outstanding(&cx, *target));
+        }
+        // What is reported in this moment, the next answer of a reader tells again.
+        cx.shared.is_receiving_state.store(false, Ordering::Release);
+    });
+}
+
+/// Remembers what is reported while other news are fetched; an operator's change goes before the list of endpoints, which is fetched with it.
+fn queue_fetch(cx: &PublishedContext, from: SocketAddr, target: FetchTarget) {
+    let mut reported = lock(&cx.shared.pending_fetch);
+    let has_priority = matches!((*reported, target), (Some((_, FetchTarget::Operators(_))), FetchTarget::Endpoints(_)));
+    if !has_priority {
+        *reported = Some((from, target));
+    }
+}
+
+/// Whether what was reported of is not known yet.
+fn is_outstanding(cx: &PublishedContext, target: FetchTarget) -> bool {
+    let view = cx.shared.store.view();
+    match target {
+        FetchTarget::Operators(position) => view.operators_position.is_none_or(|known| known < position),
+        FetchTarget::Endpoints(position) => view.endpoint_changes.position() < position,
+        FetchTarget::Everything | FetchTarget::Vms => true,
+    }
+}
+
+/// Takes news from the VM that reported of them, or another one, or has the store read.
+///
+/// In a large fleet many ask at the same moment, and another one hardly knows more; so they ask again before they read the store, which
+/// can't bear them all.
+async fn fetch_from_any(cx: &PublishedContext, from: SocketAddr, target: FetchTarget) {
+    let rounds = peer_rounds_before_read(cx.shared.peers().len());
+    for _ in 0..rounds {
+        if fetch(cx, from, target).await.is_ok() {
+            return;
+        }
+        let other = cx.shared.peers().all().map(|peer| peer.address).choose(&mut *cx.shared.rng());
+        if try_fetch(cx, other, target).await || !is_outstanding(cx, target) {
+            return;
+        }
+    }
+    request_read(cx, target);
+}
+
+async fn try_fetch(cx: &PublishedContext, from: Option<SocketAddr>, target: FetchTarget) -> bool {
+    let Some(from) = from else { return false };
+    let fetched = fetch(cx, from, target).await;
+    if let Err(error) = &fetched {
+        log::info!(from = from.to_string().as_str(); "another VM did not tell what is new: {error}");
+    }
+    fetched.is_ok()
+}
+
+/// Makes the service read the store.
+fn request_read(cx: &PublishedContext, target: FetchTarget) {
+    match target {
+        FetchTarget::Endpoints(_) => send_to_feed::<DirectoryEvent>(cx, ENDPOINT_FEED, FeedMessage::RequestRead),
+        FetchTarget::Operators(_) | FetchTarget::Everything | FetchTarget::Vms => {
+            send_to_feed::<OperatorEvent>(cx, OPERATOR_FEED, FeedMessage::RequestRead);
+        },
+    }
+}
+
+/// Takes what is target from a VM, or from those that it names, and hands it to the services that follow the store.
+pub(super) async fn fetch(cx: &PublishedContext, from: SocketAddr, target: FetchTarget) -> Result<(), FetchError> {
+    let mut from = from;
+    for _ in 0..MAX_REDIRECTS {
+        match ask(cx, from, target).await? {
+            FetchAnswer::Redirect(other) => from = other,
+            FetchAnswer::State(fetched) => return apply_fetched(cx, fetched, target),
+        }
+    }
+    TooManyRedirectsSnafu.fail()
+}
+
+/// What a VM answered.
+enum FetchAnswer {
+    Redirect(SocketAddr),
+    State(Box<FetchedState>),
+}
+
+/// What was fetched, and when it was asked_at for.
+struct FetchedState {
+    asked_at: SystemTime,
+    query: StateQuestion,
+    head: StateHead,
+    operators: Option<OperatorsPart>,
+    endpoints: Option<EndpointsPart>,
+    vms: Option<VmsPart>,
+}
+
+async fn ask(cx: &PublishedContext, from: SocketAddr, target: FetchTarget) -> Result<FetchAnswer, FetchError> {
+    let asked_at = cx.shared.clock.now();
+    let query = query(cx, target);
+    let connected = timeout(CONNECT_TIMEOUT, cx.network.connect(from)).await;
+    let mut frames = framed(connected.ok().context(TimeoutSnafu)?.context(ConnectSnafu)?, MAX_FRAME_BYTES);
+    let bytes = havengrade_rpc::encode(&query).context(MessageSnafu)?;
+    frames.send(Bytes::from(bytes)).await.context(BrokenSnafu)?;
+    let head: StateHead = havengrade_rpc::decode(&next_frame(&mut frames).await?).context(MessageSnafu)?;
+    if let Some(address) = &head.ask_instead {
+        let other = address.parse().ok().context(AddressSnafu { address })?;
+        return Ok(FetchAnswer::Redirect(other));
+    }
+    let operators = read_part(&mut frames, head.operators.as_ref()).await?;
+    let endpoints = read_part(&mut frames, head.endpoints.as_ref()).await?;
+    let vms = read_part(&mut frames, head.vms.as_ref()).await?;
+    Ok(FetchAnswer::State(Box::new(FetchedState { asked_at, query, head, operators, endpoints, vms })))
+}
+
+fn query(cx: &PublishedContext, target: FetchTarget) -> StateQuestion {
+    let (operators, endpoints) = {
+        let view = cx.shared.store.view();
+        (view.operators_position, cx.shared.knows_endpoints().then(|| view.endpoint_changes.position()))
+    };
+    let address = cx.shared.settings.listen.peers.to_string();
+    let wants_vms = target == FetchTarget::Everything && (operators.is_some() || !cx.shared.peers().is_list_loaded());
+    let only_vms = target == FetchTarget::Vms;
+    StateQuestion::new(address, operators.map(to_i64), endpoints.map(to_i64), wants_vms || only_vms, only_vms)
+}
+
+async fn next_frame(frames: &mut FramedStream<BoxConnection>) -> Result<BytesMut, FetchError> {
+    let frame = timeout(FRAME_TIMEOUT, frames.next()).await.ok().context(TimeoutSnafu)?;
+    frame.context(ClosedSnafu)?.context(BrokenSnafu)
+}
+
+/// Reads the text of a part; none where the part has nothing newer.
+async fn read_part<T: DeserializeOwned>(
+    frames: &mut FramedStream<BoxConnection>,
+    part: Option<&StatePart>,
+) -> Result<Option<T>, FetchError> {
+    let bytes = part.map_or(0, |part| from_i64(part.bytes));
+    if bytes == 0 {
+        return Ok(None);
+    }
+    ensure!(bytes <= MAX_PART_BYTES, TooLongSnafu { bytes });
+    let mut text = BytesMut::new();
+    while (text.len() as u64) < bytes {
+        text.unsplit(next_frame(frames).await?);
+    }
+    inflate_json(&text).map(Some).context(PartSnafu)
+}
+
+/// Hands what was fetched to the services that follow the store.
+fn apply_fetched(cx: &PublishedContext, fetched: Box<FetchedState>, target: FetchTarget) -> Result<(), FetchError> {
+    let FetchedState { asked_at, query, head, operators, endpoints, vms } = *fetched;
+    let has_vms = vms.is_some();
+    if let Some(vms) = vms {
+        let mut peers = cx.shared.peers();
+        peers.set_list_loaded();
+        let others = vms.into_iter().filter(|(peer, _)| peer.vm != cx.shared.settings.vm.id);
+        peers.merge_known(others.collect(), cx.shared.clock.now());
+    }
+    if target == FetchTarget::Vms {
+        return if has_vms { Ok(()) } else { UnavailableSnafu.fail() };
+    }
+    if let Some(age_ms) = head.reading_age_ms {
+        cx.shared.store_reads().record_read(confirmed_at(asked_at, Duration::from_millis(from_i64(age_ms))));
+    }
+    let (Some(operators_part), Some(endpoints_part)) = (head.operators, head.endpoints) else {
+        return UnavailableSnafu.fail();
+    };
+    let is_old = match target {
+        FetchTarget::Operators(least) => from_i64(operators_part.position) < least,
+        FetchTarget::Endpoints(least) => from_i64(endpoints_part.position) < least,
+        FetchTarget::Everything | FetchTarget::Vms => false,
+    };
+    // Before the orders, so that one that has ended is not fetched up again.
+    if let Some(rollouts) = head.rollouts {
+        let reported = rollouts.into_iter().filter_map(|state| {
+            let baseline = decode_baseline(&state);
+            Some((decode_rollout(state)?, baseline))
+        });
+        merge_rollouts(cx, reported);
+    }
+    cx.shared.has_received_state.store(true, Ordering::Release);
+    if let Some(quarantine) = head.quarantine {
+        let now = cx.shared.clock.now();
+        let changes = {
+            let mut known = cx.shared.quarantine();
+            known.set_loaded();
+            known.merge_report(decode_quarantine(quarantine), now)
+        };
+        announce_changes(cx, &changes);
+    }
+    // Before the list of endpoints, so that nothing is sent where it is known not to be target.
+    merge_reported_signals(cx, decode_signals(head.signals.unwrap_or_default()), cx.shared.clock.now());
+    let endpoints_known = query.endpoints_position.map(from_i64);
+    let is_list =
+        endpoints.iter().flatten().any(|event| !matches!(event, DirectoryEvent::Seen(_) | DirectoryEvent::Gone(_)));
+    let events = endpoints.unwrap_or_default();
+    let from = endpoints_known.filter(|_| !is_list);
+    send_to_feed(cx, ENDPOINT_FEED, FeedMessage::Relayed(relayed(&endpoints_part, events, from, asked_at)));
+    let is_news = operators.is_some();
+    let events = operators.map(operator_events).unwrap_or_default();
+    let from = query.operators_position.map(from_i64).filter(|_| !is_news);
+    send_to_feed(cx, OPERATOR_FEED, FeedMessage::Relayed(relayed(&operators_part, events, from, asked_at)));
+    // What it knows is fetched all the same, as far as it is news.
+    ensure!(!is_old, OutdatedSnafu);
+    Ok(())
+}
+
+fn operator_events(part: OperatorsPart) -> Vec<OperatorEvent> {
+    let orders = part.orders.into_iter().map(OperatorEvent::Rollout);
+    let domains = OperatorEvent::Domains(part.domains);
+    orders.chain([domains, OperatorEvent::Publication(part.publication)]).collect()
+}
+
+fn relayed<T>(part: &StatePart, events: Vec<T>, from: Option<u64>, asked_at: SystemTime) -> RelayedEvents<T> {
+    let at = confirmed_at(asked_at, Duration::from_millis(from_i64(part.age_ms)));
+    RelayedEvents { events, from, position: from_i64(part.position), at }
+}
+
+fn send_to_feed<T: Send + 'static>(cx: &PublishedContext, name: &str, message: FeedMessage<T>) {
+    if let Some(service) = find_service::<T>(cx, name) {
+        send(&service, message);
+    }
+}
--- a/havengrade_router/src/published/state_parts.rs
+++ b/havengrade_router/src/published/state_parts.rs
@@ -13,11 +13,11 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
 use crate::{
-    published::{context::PublishedContext, written::once},
+    published::{context::PublishedContext, part_cache::get_or_encode},
     shared::lock,
 };
 
-/// Largest text of a part once it is inflated, in bytes: thirty times the store's largest record, or 40,000 endpoints.
+/// Largest text of a part get_or_encode it is inflated, in bytes: thirty times the store's largest record, or 40,000 endpoints.
 const MAX_INFLATED: u64 = 8 << 20;
 
 /// What operators wrote: the configuration in force, the orders to roll out, and the emptied failure domains.
@@ -36,8 +36,8 @@
 
 /// The text of what operators wrote up to a position.
 pub(super) fn encode_operators_part(cx: &PublishedContext, position: u64) -> io::Result<Bytes> {
-    let mut written = lock(&cx.shared.written);
-    once(&mut written.operators, position, || {
+    let mut cache = lock(&cx.shared.part_cache);
+    get_or_encode(&mut cache.operators, position, || {
         let orders = cx.shared.rollouts().orders().cloned().collect();
         let domains = cx.shared.emptied_domains.load().snapshot();
         deflate_json(&OperatorsPart { publication: cx.shared.routes.load().publication().clone(), orders, domains })
@@ -48,11 +48,11 @@
 pub(super) fn encode_endpoints_part(cx: &PublishedContext, revision: u64) -> io::Result<Bytes> {
     let (listed, is_restoring) = {
         let view = cx.shared.store.view();
-        (view.listed.clone(), view.is_restoring)
+        (view.listed_endpoints.clone(), view.is_restoring)
     };
     let event = if is_restoring { DirectoryEvent::Restored } else { DirectoryEvent::All };
-    let mut written = lock(&cx.shared.written);
-    once(&mut written.endpoints, revision, || deflate_json(&vec![event(listed.to_vec())]))
+    let mut cache = lock(&cx.shared.part_cache);
+    get_or_encode(&mut cache.endpoints, revision, || deflate_json(&vec![event(listed.to_vec())]))
 }
 
 /// The text of the VMs that are known.
@@ -62,8 +62,8 @@
         let peers = cx.shared.peers();
         (peers.revision(), peers.known_peers(now))
     };
-    let mut written = lock(&cx.shared.written);
-    once(&mut written.vms, revision, || deflate_json(&told))
+    let mut cache = lock(&cx.shared.part_cache);
+    get_or_encode(&mut cache.vms, revision, || deflate_json(&told))
 }
 
 /// Writes a part.
--- a/havengrade_router/src/published/hand_on.rs
+++ b/havengrade_router/src/published/state_server.rs
@@ -29,24 +29,24 @@
 };
 
 /// Largest frame, in bytes.
-pub(super) const MAX_FRAME: usize = 16 << 10;
+pub(super) const MAX_FRAME_BYTES: usize = 16 << 10;
 /// Time for which one frame is waited for: at least 330 kbit/s, a sixtieth of the smallest link that was seen.
-pub(super) const FRAME_LIMIT: Duration = Duration::from_millis(400);
+pub(super) const FRAME_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time for which a VM waits for others to be served; less than it waits for the first frame.
-const WAIT_LIMIT: Duration = Duration::from_millis(300);
+const MAX_WAIT: Duration = Duration::from_millis(300);
 /// Time between two looks whether others were served: a fraction of the time in which one is.
-const WAIT_STEP: Duration = Duration::from_millis(10);
+const WAIT_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Why a VM was not handed what it asked for.
 #[derive(Debug, Snafu)]
-enum HandError {
+enum ServeError {
     #[snafu(display("it left"))]
-    Left,
+    Closed,
     #[snafu(display("others were served all the time"))]
     Busy,
     #[snafu(display("it took too long"))]
-    Late,
+    Timeout,
     #[snafu(display("the connection broke: {source}"))]
     Broken { source: io::Error },
     #[snafu(display("a message can't be read or written: {source}"))]
@@ -60,7 +60,8 @@
     loop {
         match listener.accept().await {
             Ok(connection) => {
-                let served = cx.forced_shutdown.clone().run_until_cancelled_owned(serve(cx.clone(), connection));
+                let served =
+                    cx.forced_shutdown.clone().run_until_cancelled_owned(serve_connection(cx.clone(), connection));
                 tokio::spawn(served);
             },
             Err(error) => {
@@ -71,27 +72,27 @@
     }
 }
 
-async fn serve(cx: PublishedContext, connection: BoxConnection) {
-    if let Err(error) = answer(&cx, connection).await {
+async fn serve_connection(cx: PublishedContext, connection: BoxConnection) {
+    if let Err(error) = serve_request(&cx, connection).await {
         log::info!("another VM was not handed what is in force: {error}");
     }
 }
 
-async fn answer(cx: &PublishedContext, connection: BoxConnection) -> Result<(), HandError> {
-    let mut frames = framed(connection, MAX_FRAME);
-    let frame = timeout(FRAME_LIMIT, frames.next()).await.ok().context(LateSnafu)?;
-    let frame = frame.context(LeftSnafu)?.context(BrokenSnafu)?;
-    let question: StateQuestion = havengrade_rpc::decode(&frame).context(MessageSnafu)?;
-    if cx.shared.store.is_reading(cx.shared.clock.now()) {
+async fn serve_request(cx: &PublishedContext, connection: BoxConnection) -> Result<(), ServeError> {
+    let mut frames = framed(connection, MAX_FRAME_BYTES);
+    let frame = timeout(FRAME_TIMEOUT, frames.next()).await.ok().context(TimeoutSnafu)?;
+    let frame = frame.context(ClosedSnafu)?.context(BrokenSnafu)?;
+    let query: StateQuestion = havengrade_rpc::decode(&frame).context(MessageSnafu)?;
+    if cx.shared.store.is_reading_initial_state(cx.shared.clock.now()) {
         // Who asks a VM that will know soon need not ask again and again.
-        let _ = timeout(WAIT_LIMIT, cx.shared.wait_for_state()).await;
+        let _ = timeout(MAX_WAIT, cx.shared.wait_for_state()).await;
     }
-    if question.only_vms || !can_hand_on(cx, &question) {
+    if query.only_vms || !can_transfer(cx, &query) {
         // It only wants to know whom this very VM knows, or learns no more here.
-        return hand(cx, &question, &mut frames).await.map(drop);
+        return send_state(cx, &query, &mut frames).await.map(drop);
     }
-    let (admission, revision) = admit(cx).await;
-    match admission {
+    let (decision, revision) = admit(cx).await;
+    match decision {
         TransferDecision::Serve => {},
         TransferDecision::Wait => return BusySnafu.fail(),
         TransferDecision::Redirect(other) => {
@@ -99,67 +100,67 @@
             return send_head(&mut frames, &head).await;
         },
     }
-    let served = hand(cx, &question, &mut frames).await;
-    let taker: Option<SocketAddr> = question.address.parse().ok();
-    let is_whole = matches!(served, Ok(true));
-    lock(&cx.shared.transfer_limiter).finish(revision, taker.filter(|_| is_whole));
+    let served = send_state(cx, &query, &mut frames).await;
+    let receiver: Option<SocketAddr> = query.address.parse().ok();
+    let is_complete = matches!(served, Ok(true));
+    lock(&cx.shared.transfer_limiter).finish(revision, receiver.filter(|_| is_complete));
     served.map(drop)
 }
 
 /// Whether this VM knows what is in force, and all VMs where they are wanted: who was told of some takes those for all.
-fn can_hand_on(cx: &PublishedContext, question: &StateQuestion) -> bool {
-    cx.shared.knows_state() && (!question.wants_vms || cx.shared.peers().is_list_loaded())
+fn can_transfer(cx: &PublishedContext, query: &StateQuestion) -> bool {
+    cx.shared.knows_state() && (!query.wants_vms || cx.shared.peers().is_list_loaded())
 }
 
 /// Decides on a VM that asks, once it may be served or another one can be named; at what revision.
 async fn admit(cx: &PublishedContext) -> (TransferDecision, u64) {
-    let until = Instant::now() + WAIT_LIMIT;
+    let until = Instant::now() + MAX_WAIT;
     loop {
         let revision = revision(cx);
-        let admission = lock(&cx.shared.transfer_limiter).admit(revision);
-        if admission != TransferDecision::Wait || Instant::now() >= until {
-            return (admission, revision);
+        let decision = lock(&cx.shared.transfer_limiter).admit(revision);
+        if decision != TransferDecision::Wait || Instant::now() >= until {
+            return (decision, revision);
         }
-        sleep(WAIT_STEP).await;
+        sleep(WAIT_INTERVAL).await;
     }
 }
 
 /// A number that rises whenever what is in force changes.
 fn revision(cx: &PublishedContext) -> u64 {
     let view = cx.shared.store.view();
-    view.operators.unwrap_or_default().saturating_add(view.endpoints.revision())
+    view.operators_position.unwrap_or_default().saturating_add(view.endpoint_changes.revision())
 }
 
 /// Hands on what this VM knows; tells whether it was all that is in force.
-async fn hand(
+async fn send_state(
     cx: &PublishedContext,
-    question: &StateQuestion,
+    query: &StateQuestion,
     frames: &mut FramedStream<BoxConnection>,
-) -> Result<bool, HandError> {
-    let answer = Answer::new(cx, question, cx.shared.clock.now()).context(PartSnafu)?;
-    let is_whole = answer.head.operators.is_some() && answer.head.endpoints.is_some();
+) -> Result<bool, ServeError> {
+    let answer = StateAnswer::new(cx, query, cx.shared.clock.now()).context(PartSnafu)?;
+    let is_complete = answer.head.operators.is_some() && answer.head.endpoints.is_some();
     send_head(frames, &answer.head).await?;
-    for text in answer.texts {
-        send_text(frames, text).await?;
+    for text in answer.parts {
+        send_part(frames, text).await?;
     }
-    Ok(is_whole)
+    Ok(is_complete)
 }
 
-async fn send_head(frames: &mut FramedStream<BoxConnection>, head: &StateHead) -> Result<(), HandError> {
+async fn send_head(frames: &mut FramedStream<BoxConnection>, head: &StateHead) -> Result<(), ServeError> {
     let bytes = havengrade_rpc::encode(head).context(MessageSnafu)?;
-    send(frames, Bytes::from(bytes)).await
+    send_frame(frames, Bytes::from(bytes)).await
 }
 
-async fn send_text(frames: &mut FramedStream<BoxConnection>, mut text: Bytes) -> Result<(), HandError> {
+async fn send_part(frames: &mut FramedStream<BoxConnection>, mut text: Bytes) -> Result<(), ServeError> {
     while !text.is_empty() {
-        let piece = text.split_to(text.len().min(MAX_FRAME));
-        send(frames, piece).await?;
+        let piece = text.split_to(text.len().min(MAX_FRAME_BYTES));
+        send_frame(frames, piece).await?;
     }
     Ok(())
 }
 
-async fn send(frames: &mut FramedStream<BoxConnection>, frame: Bytes) -> Result<(), HandError> {
-    timeout(FRAME_LIMIT, frames.send(frame)).await.ok().context(LateSnafu)?.context(BrokenSnafu)
+async fn send_frame(frames: &mut FramedStream<BoxConnection>, frame: Bytes) -> Result<(), ServeError> {
+    timeout(FRAME_TIMEOUT, frames.send(frame)).await.ok().context(TimeoutSnafu)?.context(BrokenSnafu)
 }
 
 /// A head after which nothing follows; the generated default names empty things instead of none.
@@ -180,54 +181,55 @@
     to_i64(now.duration_since(at).unwrap_or_default().as_millis() as u64)
 }
 
-/// An answer: its head, and the texts that follow.
-struct Answer {
+/// An answer: its head, and the parts that follow.
+struct StateAnswer {
     head: StateHead,
-    texts: Vec<Bytes>,
+    parts: Vec<Bytes>,
 }
 
-impl Answer {
-    fn new(cx: &PublishedContext, question: &StateQuestion, now: SystemTime) -> io::Result<Self> {
-        let mut answer = Self { head: empty_head(), texts: Vec::new() };
+impl StateAnswer {
+    fn new(cx: &PublishedContext, query: &StateQuestion, now: SystemTime) -> io::Result<Self> {
+        let mut answer = Self { head: empty_head(), parts: Vec::new() };
         // Without its own first reads this VM has nothing to tell but whom it knows.
-        if question.only_vms {
+        if query.only_vms {
             if cx.shared.peers().is_list_loaded() {
-                answer.head.vms = Some(answer.part(0, Duration::ZERO, encode_vms_part(cx)?));
+                answer.head.vms = Some(answer.add_part(0, Duration::ZERO, encode_vms_part(cx)?));
             }
             return Ok(answer);
         }
-        if can_hand_on(cx, question) {
-            answer.add_operators(cx, question, now)?;
-            answer.add_endpoints(cx, question, now)?;
-            answer.head.rollouts = reported_rollouts(cx, now)
-                .map(|told| told.into_iter().map(|(told, usual)| encode_rollout(told, usual)).collect());
+        if can_transfer(cx, query) {
+            answer.add_operators(cx, query, now)?;
+            answer.add_endpoints(cx, query, now)?;
+            answer.head.rollouts = reported_rollouts(cx, now).map(|rollouts| {
+                rollouts.into_iter().map(|(rollout, baseline)| encode_rollout(rollout, baseline)).collect()
+            });
         } else {
             answer.head.reading_age_ms = cx.shared.last_store_read_at(now).map(|at| age_ms(at, now));
         }
         answer.head.quarantine = cx.shared.quarantine().full_report(now).map(encode_quarantine);
         answer.head.signals = Some(encode_signals(cx.shared.send_limits().signals.transfer_entries(now)));
-        if question.wants_vms && can_hand_on(cx, question) {
-            answer.head.vms = Some(answer.part(0, Duration::ZERO, encode_vms_part(cx)?));
+        if query.wants_vms && can_transfer(cx, query) {
+            answer.head.vms = Some(answer.add_part(0, Duration::ZERO, encode_vms_part(cx)?));
         }
         Ok(answer)
     }
 
-    fn add_operators(&mut self, cx: &PublishedContext, question: &StateQuestion, now: SystemTime) -> io::Result<()> {
-        let position = cx.shared.store.view().operators.unwrap_or_default();
-        let is_news = question.operators_position.is_none_or(|known| from_i64(known) < position);
-        let text = if is_news { encode_operators_part(cx, position)? } else { Bytes::new() };
-        self.head.operators = Some(self.part(position, cx.shared.config_age(now).unwrap_or_default(), text));
+    fn add_operators(&mut self, cx: &PublishedContext, query: &StateQuestion, now: SystemTime) -> io::Result<()> {
+        let position = cx.shared.store.view().operators_position.unwrap_or_default();
+        let is_newer = query.operators_position.is_none_or(|known| from_i64(known) < position);
+        let text = if is_newer { encode_operators_part(cx, position)? } else { Bytes::new() };
+        self.head.operators = Some(self.add_part(position, cx.shared.config_age(now).unwrap_or_default(), text));
         Ok(())
     }
 
-    fn add_endpoints(&mut self, cx: &PublishedContext, question: &StateQuestion, now: SystemTime) -> io::Result<()> {
-        let known = question.endpoints_position.map(from_i64);
+    fn add_endpoints(&mut self, cx: &PublishedContext, query: &StateQuestion, now: SystemTime) -> io::Result<()> {
+        let known = query.endpoints_position.map(from_i64);
         let (position, revision, age, changes) = {
             let view = cx.shared.store.view();
-            let changes = known.and_then(|known| view.endpoints.since(known));
+            let changes = known.and_then(|known| view.endpoint_changes.since(known));
             let changes = changes.map(|changes| changes.cloned().collect::<Vec<_>>());
-            let age = now.duration_since(view.endpoints_at).unwrap_or_default();
-            (view.endpoints.position(), view.endpoints.revision(), age, changes)
+            let age = now.duration_since(view.endpoints_confirmed_at).unwrap_or_default();
+            (view.endpoint_changes.position(), view.endpoint_changes.revision(), age, changes)
         };
         let is_ahead = known.is_some_and(|known| known > position);
         let text = match changes {
@@ -236,13 +238,13 @@
             None if is_ahead => Bytes::new(),
             None => encode_endpoints_part(cx, revision)?,
         };
-        self.head.endpoints = Some(self.part(position, age, text));
+        self.head.endpoints = Some(self.add_part(position, age, text));
         Ok(())
     }
 
-    fn part(&mut self, position: u64, age: Duration, text: Bytes) -> StatePart {
+    fn add_part(&mut self, position: u64, age: Duration, text: Bytes) -> StatePart {
         let bytes = to_i64(text.len() as u64);
-        self.texts.push(text);
+        self.parts.push(text);
         StatePart::new(to_i64(position), to_i64(age.as_millis() as u64 + 1), bytes)
     }
 }
--- a/havengrade_router/src/published/store_access.rs
+++ b/havengrade_router/src/published/store_access.rs
@@ -15,34 +15,34 @@
 
 /// Longest time for which others that start wait for a read that is under way: a list of 20,000 endpoints over a link of
 /// 20 Mbit/s takes two seconds.
-const READING_LIMIT: Duration = Duration::from_secs(4);
+const MAX_INITIAL_READ_TIME: Duration = Duration::from_secs(4);
 
 /// How far this VM has read the store, for those who ask it.
 #[derive(Clone, Debug)]
 pub struct StoreView {
     /// Position up to which operators' records were taken.
-    pub operators: Option<u64>,
+    pub operators_position: Option<u64>,
     /// The last changes of the list of endpoints.
-    pub endpoints: ChangeLog,
+    pub endpoint_changes: ChangeLog,
     /// The list of endpoints as it stands.
-    pub listed: Arc<[ListedEndpoint]>,
+    pub listed_endpoints: Arc<[ListedEndpoint]>,
     /// Whether the store lost entries of the list that are written again soon.
     pub is_restoring: bool,
     /// When nothing newer than the list existed.
-    pub endpoints_at: SystemTime,
+    pub endpoints_confirmed_at: SystemTime,
 }
 
 /// How a VM stands to the store.
 pub struct StoreAccess {
     /// Whether the store may be read: not until a VM that starts has asked others.
-    follows: AtomicBool,
+    may_read: AtomicBool,
     is_reader: AtomicBool,
     /// Whether this VM reads the store for others while those whose turn it is don't reach it.
-    is_volunteer: AtomicBool,
+    is_fallback_reader: AtomicBool,
     /// Since when this VM reads what is in force; none where it does not, or knows it.
-    reading_since: Mutex<Option<SystemTime>>,
+    initial_read_since: Mutex<Option<SystemTime>>,
     /// Until when the store is left alone after it did not answer.
-    pause: Mutex<Option<Instant>>,
+    paused_until: Mutex<Option<Instant>>,
     view: Mutex<StoreView>,
     /// How often the store has come back from an older copy; none before this VM knows any position.
     eras: watch::Sender<Option<Era>>,
@@ -51,18 +51,18 @@
 impl Default for StoreAccess {
     fn default() -> Self {
         let view = StoreView {
-            operators: None,
-            endpoints: ChangeLog::default(),
-            listed: Arc::default(),
+            operators_position: None,
+            endpoint_changes: ChangeLog::default(),
+            listed_endpoints: Arc::default(),
             is_restoring: false,
-            endpoints_at: SystemTime::UNIX_EPOCH,
+            endpoints_confirmed_at: SystemTime::UNIX_EPOCH,
         };
         Self {
-            follows: AtomicBool::new(false),
+            may_read: AtomicBool::new(false),
             is_reader: AtomicBool::new(false),
-            is_volunteer: AtomicBool::new(false),
-            reading_since: Mutex::default(),
-            pause: Mutex::default(),
+            is_fallback_reader: AtomicBool::new(false),
+            initial_read_since: Mutex::default(),
+            paused_until: Mutex::default(),
             view: Mutex::new(view),
             eras: watch::Sender::new(None),
         }
@@ -71,28 +71,28 @@
 
 impl StoreAccess {
     /// Lets the store be read; tells whether it could not be before.
-    pub fn begin_following(&self) -> bool {
-        !self.follows.swap(true, Ordering::AcqRel)
+    pub fn allow_reads(&self) -> bool {
+        !self.may_read.swap(true, Ordering::AcqRel)
     }
 
     /// Whether the store may be read.
-    pub fn follows(&self) -> bool {
-        self.follows.load(Ordering::Acquire)
+    pub fn may_read(&self) -> bool {
+        self.may_read.load(Ordering::Acquire)
     }
 
     /// Notes that this VM begins to read what is in force.
-    pub fn begin_reading(&self, now: SystemTime) {
-        lock(&self.reading_since).get_or_insert(now);
+    pub fn start_initial_read(&self, now: SystemTime) {
+        lock(&self.initial_read_since).get_or_insert(now);
     }
 
     /// Notes that such a read has failed.
-    pub fn fail_reading(&self) {
-        *lock(&self.reading_since) = None;
+    pub fn fail_initial_read(&self) {
+        *lock(&self.initial_read_since) = None;
     }
 
     /// Whether this VM is reading what is in force, so that others may wait for it.
-    pub fn is_reading(&self, now: SystemTime) -> bool {
-        lock(&self.reading_since).is_some_and(|since| now < since + READING_LIMIT)
+    pub fn is_reading_initial_state(&self, now: SystemTime) -> bool {
+        lock(&self.initial_read_since).is_some_and(|since| now < since + MAX_INITIAL_READ_TIME)
     }
 
     /// How far this VM has read the store, locked for a moment.
@@ -101,13 +101,13 @@
     }
 
     /// Notes the era of a position in the store that was read here or by another VM.
-    pub fn note_era(&self, era: Era) {
-        let has_lost_some = self.eras.send_if_modified(|known| {
+    pub fn record_era(&self, era: Era) {
+        let is_restored = self.eras.send_if_modified(|known| {
             let before = known.replace(known.map_or(era, |known| known.max(era)));
             // Before the first one, this VM had written nothing that could be lost.
             before.is_some_and(|before| before < era)
         });
-        if has_lost_some {
+        if is_restored {
             log::warn!(era = era; "the store came back from an older copy; what this VM wrote is written again");
         }
     }
@@ -119,18 +119,18 @@
 
     /// Whether this VM reads the store for others.
     pub fn is_reader(&self) -> bool {
-        self.is_reader.load(Ordering::Acquire) || self.is_volunteer()
+        self.is_reader.load(Ordering::Acquire) || self.is_fallback_reader()
     }
 
     /// Whether this VM reads the store for others in place of those whose turn it is.
-    pub fn is_volunteer(&self) -> bool {
-        self.is_volunteer.load(Ordering::Acquire)
+    pub fn is_fallback_reader(&self) -> bool {
+        self.is_fallback_reader.load(Ordering::Acquire)
     }
 
     /// Notes whether it does.
-    pub fn set_volunteer(&self, is_volunteer: bool) {
-        if self.is_volunteer.swap(is_volunteer, Ordering::AcqRel) != is_volunteer {
-            log::info!(reads = u64::from(is_volunteer); "this VM reads the store in place of readers that don't reach it");
+    pub fn set_fallback_reader(&self, is_fallback_reader: bool) {
+        if self.is_fallback_reader.swap(is_fallback_reader, Ordering::AcqRel) != is_fallback_reader {
+            log::info!(reads = u64::from(is_fallback_reader); "this VM reads the store in place of readers that don't reach it");
         }
     }
 
@@ -142,12 +142,12 @@
     }
 
     /// Whether the store is left alone at `now`, since it lately did not answer one of the feeds.
-    pub fn is_left_alone(&self, now: Instant) -> bool {
-        lock(&self.pause).is_some_and(|until| now < until)
+    pub fn is_paused(&self, now: Instant) -> bool {
+        lock(&self.paused_until).is_some_and(|until| now < until)
     }
 
     /// Leaves the store alone until a time, or no longer.
-    pub fn pause(&self, until: Option<Instant>) {
-        *lock(&self.pause) = until;
+    pub fn set_paused_until(&self, until: Option<Instant>) {
+        *lock(&self.paused_until) = until;
     }
 }
--- /dev/null
+++ b/havengrade_router/src/published/store_queries.rs
@@ -0,0 +1,219 @@
+//! Asking the VMs that read the store what is new in it, and answering those that ask.
+
+use std::{
+    net::SocketAddr,
+    time::{Duration, SystemTime},
+};
+
+use havengrade_core::{
+    ids::VmId,
+    published::{
+        directory::DirectoryEvent,
+        relay::{MAX_RELAYED_AGE, ReaderSelection, confirmed_at},
+    },
+};
+use havengrade_rpc::reports::{StoreAnswer, StoreQuestion};
+
+use crate::published::{
+    context::PublishedContext,
+    feed_reader::{ENDPOINT_FEED, FeedMessage, OPERATOR_FEED, RelayedEvents, find_service, send},
+    ports::OperatorEvent,
+    state_fetch::{FetchTarget, fetch_update},
+    wire::{decode_change, encode_change, from_i64, to_i64},
+};
+
+/// Time between two questions.
+const QUERY_INTERVAL: Duration = Duration::from_millis(400);
+/// Time after which another VM is sent where one does not answer; the farthest answers in some 10 ms.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
+/// Most changes in one answer, so that it fits a packet; who misses more takes them over a connection.
+const MAX_CHANGES: usize = 8;
+
+/// Age of the configuration from which a VM that offers to read for others is sent.
+const FALLBACK_AGE: Duration = Duration::from_millis(1200);
+
+/// Number of an answer that nobody sent for: it only says that operators wrote something.
+const HINT_NUMBER: u64 = 0;
+
+/// A query that was sent.
+#[derive(Clone, Debug)]
+struct SentQuery {
+    number: u64,
+    /// The VM that was sent.
+    vm: VmId,
+    sent_at: SystemTime,
+    is_answered: bool,
+    operators: u64,
+    endpoints: u64,
+}
+
+/// The questions of this VM.
+#[derive(Debug, Default)]
+pub(super) struct StoreQueries {
+    last: Option<SentQuery>,
+    number: u64,
+    readers: ReaderSelection,
+}
+
+impl StoreQueries {
+    /// Finds out who reads the store; gives a query and whom to ask, if it is time for one.
+    pub(super) fn next_query(&mut self, cx: &PublishedContext, now: SystemTime) -> Option<(StoreQuestion, SocketAddr)> {
+        let pause = |sent: &SentQuery| if sent.is_answered { QUERY_INTERVAL } else { ANSWER_TIMEOUT };
+        if self.last.as_ref().is_some_and(|sent| now < sent.sent_at + pause(sent)) {
+            return None;
+        }
+        if let Some(sent) = self.last.take_if(|sent| !sent.is_answered) {
+            self.readers.record_miss(&sent.vm, now);
+        }
+        let (vm, to) = self.choose_reader(cx, now)?;
+        let (operators, endpoints) = positions(cx)?;
+        self.number += 1;
+        self.last = Some(SentQuery { number: self.number, vm, sent_at: now, is_answered: false, operators, endpoints });
+        let address = cx.shared.settings.listen.peers.to_string();
+        Some((StoreQuestion::new(to_i64(self.number), address, to_i64(operators), to_i64(endpoints)), to))
+    }
+
+    /// The VM to ask; none where this VM is a reader, or the others are not known yet.
+    fn choose_reader(&mut self, cx: &PublishedContext, now: SystemTime) -> Option<(VmId, SocketAddr)> {
+        let me = &cx.shared.settings.vm.id;
+        let peers = cx.shared.peers();
+        if !peers.is_list_loaded() {
+            return None;
+        }
+        let vms = peers.all().map(|peer| &peer.vm).chain([me]);
+        let readers = self.readers.select(vms, me, now);
+        let is_reader = readers.contains(&me);
+        cx.shared.store.set_reader(is_reader);
+        if is_reader {
+            cx.shared.store.set_fallback_reader(false);
+            return None;
+        }
+        let vm = self.readers.next_to_ask(&readers)?;
+        let address = peers.address(&vm)?;
+        Some((vm, address))
+    }
+
+    /// Takes an answer and hands it to the services that follow the store.
+    pub(super) fn apply_answer(&mut self, cx: &PublishedContext, answer: StoreAnswer) {
+        if from_i64(answer.number) == HINT_NUMBER {
+            self.apply_hint(cx, &answer);
+            return;
+        }
+        let Some(sent) = self.last.as_mut().filter(|sent| sent.number == from_i64(answer.number)) else { return };
+        let age = age_of(&answer);
+        sent.is_answered = true;
+        if age >= MAX_RELAYED_AGE {
+            self.readers.record_stale_answer(&sent.vm);
+        } else if self.readers.record_answer(&sent.vm) {
+            cx.shared.store.set_fallback_reader(false);
+        }
+        apply_operators(cx, sent, &answer);
+        apply_endpoints(cx, sent, answer);
+    }
+
+    /// A hint is believed no further than that its sender is worth a query.
+    fn apply_hint(&mut self, cx: &PublishedContext, hint: &StoreAnswer) {
+        let known = cx.shared.store.view().operators_position;
+        let position = from_i64(hint.operators_position);
+        if known.is_some_and(|known| position > known) {
+            fetch_change(cx, hint, position);
+        }
+        let now = cx.shared.clock.now();
+        let is_old = cx.shared.config_age(now).is_none_or(|age| age >= FALLBACK_AGE);
+        if is_old && age_of(hint) < MAX_RELAYED_AGE {
+            self.apply_fallback_offer(cx, hint);
+        }
+    }
+
+    /// Asks the sender of a hint at once, since the readers don't reach the store.
+    fn apply_fallback_offer(&mut self, cx: &PublishedContext, hint: &StoreAnswer) {
+        let Some(address) = address_of(hint) else { return };
+        let vm = cx.shared.peers().all().find(|peer| peer.address == address).map(|peer| peer.vm.clone());
+        if let Some(vm) = vm {
+            self.readers.add_fallback(vm);
+            self.last = None;
+        }
+    }
+}
+
+/// What a VM that reads the store tells all others when operators wrote something.
+pub(super) fn change_hint(cx: &PublishedContext, now: SystemTime) -> Option<StoreAnswer> {
+    let query = StoreQuestion::new(to_i64(HINT_NUMBER), String::new(), 0, to_i64(u64::MAX));
+    answer_query(cx, &query, now)
+}
+
+/// Takes news from the VM that told of them where it hands them on, or else from the store.
+fn fetch_change(cx: &PublishedContext, answer: &StoreAnswer, position: u64) {
+    match address_of(answer) {
+        Some(from) => fetch_update(cx, from, FetchTarget::Operators(position)),
+        None => {
+            if let Some(service) = find_service::<OperatorEvent>(cx, OPERATOR_FEED) {
+                send(&service, FeedMessage::RequestRead);
+            }
+        },
+    }
+}
+
+/// Where the answering VM hands on what it knows, if it does.
+fn address_of(answer: &StoreAnswer) -> Option<SocketAddr> {
+    answer.address.as_ref()?.parse().ok()
+}
+
+fn age_of(answer: &StoreAnswer) -> Duration {
+    Duration::from_millis(from_i64(answer.operators_age_ms.max(answer.endpoints_age_ms)))
+}
+
+/// How far this VM has read the store; none before its first reads.
+fn positions(cx: &PublishedContext) -> Option<(u64, u64)> {
+    let view = cx.shared.store.view();
+    Some((view.operators_position?, view.endpoint_changes.position()))
+}
+
+fn apply_operators(cx: &PublishedContext, sent: &SentQuery, answer: &StoreAnswer) {
+    let Some(service) = find_service::<OperatorEvent>(cx, OPERATOR_FEED) else { return };
+    let position = from_i64(answer.operators_position);
+    if position > sent.operators {
+        fetch_change(cx, answer, position);
+    } else if position == sent.operators {
+        let at = confirmed_at(sent.sent_at, Duration::from_millis(from_i64(answer.operators_age_ms)));
+        let relayed = RelayedEvents { events: Vec::new(), from: Some(position), position, at };
+        send(&service, FeedMessage::Relayed(relayed));
+    }
+}
+
+fn apply_endpoints(cx: &PublishedContext, sent: &SentQuery, answer: StoreAnswer) {
+    let Some(service) = find_service::<DirectoryEvent>(cx, ENDPOINT_FEED) else { return };
+    let position = from_i64(answer.endpoints_position);
+    if position < sent.endpoints {
+        return;
+    }
+    let from = address_of(&answer);
+    let events = answer.changes.map(|changes| changes.into_iter().map(decode_change).collect::<Option<Vec<_>>>());
+    match (events.flatten(), from) {
+        (Some(events), _) => {
+            let at = confirmed_at(sent.sent_at, Duration::from_millis(from_i64(answer.endpoints_age_ms)));
+            let relayed = RelayedEvents { events, from: Some(sent.endpoints), position, at };
+            send(&service, FeedMessage::Relayed(relayed));
+        },
+        (None, Some(from)) => fetch_update(cx, from, FetchTarget::Endpoints(position)),
+        (None, None) => send(&service, FeedMessage::RequestRead),
+    }
+}
+
+/// Answers a query from what this VM knows; none before its own first reads.
+pub(super) fn answer_query(cx: &PublishedContext, query: &StoreQuestion, now: SystemTime) -> Option<StoreAnswer> {
+    let view = cx.shared.store.view();
+    let age = |at: SystemTime| to_i64(now.duration_since(at).unwrap_or_default().as_millis() as u64 + 1);
+    let changes = view.endpoint_changes.since(from_i64(query.endpoints_position));
+    let changes = changes.filter(|changes| changes.len() <= MAX_CHANGES);
+    let changes = changes.and_then(|changes| changes.cloned().map(encode_change).collect::<Option<Vec<_>>>());
+    Some(StoreAnswer::new(
+        query.number,
+        to_i64(view.operators_position?),
+        age(cx.shared.config_confirmed_at()?),
+        to_i64(view.endpoint_changes.position()),
+        age(view.endpoints_confirmed_at),
+        changes,
+        cx.uses_state_transfer.then(|| cx.shared.settings.listen.peers.to_string()),
+    ))
+}
