--- a/havengrade_router/src/published/active_request.rs
+++ b/havengrade_router/src/published/active_request.rs
@@ -24,11 +24,11 @@
 };
 
 /// Time after which a first event is looked for elsewhere, as a multiple of the route's target.
-const FIRST_EVENT_FACTOR: f64 = 1.5;
+const FIRST_EVENT_TIMEOUT_FACTOR: f64 = 1.5;
 /// Time after which a whole answer is looked for elsewhere, as a multiple of the route's target.
-const WHOLE_ANSWER_FACTOR: f64 = 3.0;
+const WHOLE_ANSWER_TIMEOUT_FACTOR: f64 = 3.0;
 /// Age of the configuration up to which an unknown route or key is believed to be unknown.
-const TRUSTED_AGE: Duration = Duration::from_millis(2500);
+const MAX_TRUSTED_CONFIG_AGE: Duration = Duration::from_millis(2500);
 
 /// A request on its way.
 #[derive(Clone)]
@@ -40,7 +40,7 @@
     /// Its whole body.
     pub(super) body: Bytes,
     /// What its headers say.
-    pub(super) facts: RequestAttributes,
+    pub(super) attributes: RequestAttributes,
     /// Its route.
     pub(super) route: PublishedRoute,
     /// The service that answers.
@@ -52,24 +52,24 @@
     /// Model that the router chose.
     pub(super) model: Option<String>,
     /// When it arrived.
-    pub(super) arrived: SystemTime,
+    pub(super) received_at: SystemTime,
     /// When its answer must have ended.
-    pub(super) limit: SystemTime,
+    pub(super) deadline: SystemTime,
     /// Whether the next try was taken out of the retry budget already.
-    pub(super) has_paid: bool,
+    pub(super) has_reserved_retry: bool,
     /// Whether it is the one by which a request that was held back is tried once more.
-    pub(super) is_trial: bool,
+    pub(super) is_quarantine_trial: bool,
     /// What it is known by, once that was asked for.
     fingerprint: OnceLock<RequestFingerprint>,
     /// Tries so far.
     pub(super) attempts: Attempts,
     /// Endpoints that were tried.
-    pub(super) tried: Vec<EndpointId>,
+    pub(super) tried_endpoints: Vec<EndpointId>,
 }
 
 impl ActiveRequest {
     /// Whether it needs a key that holds.
-    pub(super) fn is_keyed(&self) -> bool {
+    pub(super) fn requires_key(&self) -> bool {
         self.account.is_some()
     }
 
@@ -90,11 +90,11 @@
 
     /// Time until its answer must have ended.
     pub(super) fn time_left(&self, now: SystemTime) -> Duration {
-        self.limit.duration_since(now).unwrap_or_default()
+        self.deadline.duration_since(now).unwrap_or_default()
     }
 
     /// Time for which an endpoint may be silent before another one is tried; all that is left where none may be.
-    pub(super) fn patience(&self, now: SystemTime) -> Duration {
+    pub(super) fn attempt_timeout(&self, now: SystemTime) -> Duration {
         let mut after = self.attempts.clone();
         after.record(RunState::MayHaveRun);
         let left = self.time_left(now);
@@ -102,8 +102,8 @@
             return left;
         }
         let factor = match self.route.shape {
-            AnswerShape::Events { .. } => FIRST_EVENT_FACTOR,
-            AnswerShape::Whole => WHOLE_ANSWER_FACTOR,
+            AnswerShape::Events { .. } => FIRST_EVENT_TIMEOUT_FACTOR,
+            AnswerShape::Whole => WHOLE_ANSWER_TIMEOUT_FACTOR,
         };
         self.route.target.mul_f64(factor).min(left)
     }
@@ -122,25 +122,26 @@
     cx: &PublishedContext,
     head: request::Parts,
     body: Incoming,
-    facts: RequestAttributes,
-    arrived: SystemTime,
+    attributes: RequestAttributes,
+    received_at: SystemTime,
 ) -> Result<ActiveRequest, Refusal> {
     if !cx.shared.knows_routes() {
         return Err(Refusal::Starting);
     }
     let routes = cx.shared.routes.load_full();
     check_host(&head)?;
-    let id = facts.id.clone().ok_or(Refusal::Malformed)?;
+    let id = attributes.id.clone().ok_or(Refusal::Malformed)?;
     let host = head.headers.get(header::HOST).and_then(|value| value.to_str().ok()).unwrap_or_default();
-    let route = routes.find(host, head.uri.path()).ok_or_else(|| unknown(cx, Refusal::NoRoute, arrived))?.clone();
-    let account = find_account(cx, &routes, &route, &facts, arrived)?;
+    let route =
+        routes.find(host, head.uri.path()).ok_or_else(|| refuse_unknown(cx, Refusal::NoRoute, received_at))?.clone();
+    let account = find_account(cx, &routes, &route, &attributes, received_at)?;
     let service = route.service_for(&id).ok_or(Refusal::NoEndpoint)?.clone();
-    let patience = facts.time_limit.unwrap_or(route.time_limit).min(route.time_limit);
-    if may_outlast_shutdown(cx, patience, arrived) {
+    let time_limit = attributes.time_limit.unwrap_or(route.time_limit).min(route.time_limit);
+    if may_outlast_shutdown(cx, time_limit, received_at) {
         return Err(Refusal::Stopping);
     }
     let limits = routes.limits();
-    let body = match timeout(patience, Limited::new(body, limits.body_bytes).collect()).await {
+    let body = match timeout(time_limit, Limited::new(body, limits.body_bytes).collect()).await {
         Ok(Ok(collected)) => collected.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => return Err(Refusal::TooLarge),
         Ok(Err(_)) => return Err(Refusal::Malformed),
@@ -151,52 +152,52 @@
         AnswerShape::Events { is_resumable: false } => Repeat::Never,
         AnswerShape::Whole => route.repeat,
     };
-    let may_ask_again = model_choice::may_escalate(&route, repeat == Repeat::Allowed, facts.last_event.is_some());
-    let model = facts
+    let may_escalate = model_choice::may_escalate(&route, repeat == Repeat::Allowed, attributes.last_event.is_some());
+    let model = attributes
         .lets_router_choose_model
-        .then(|| model_choice::initial_model(&route.models, may_ask_again).cloned())
+        .then(|| model_choice::initial_model(&route.models, may_escalate).cloned())
         .flatten();
     let (account, own_priority) = account.unzip();
     Ok(ActiveRequest {
         id,
         attempts: Attempts::new(repeat, route.max_tries),
         priority: own_priority.flatten().unwrap_or(route.priority),
-        limit: arrived + patience,
+        deadline: received_at + time_limit,
         head,
         body,
-        facts,
+        attributes,
         route,
         service,
         account,
         model,
-        arrived,
-        has_paid: false,
-        is_trial: false,
+        received_at,
+        has_reserved_retry: false,
+        is_quarantine_trial: false,
         fingerprint: OnceLock::new(),
-        tried: Vec::new(),
+        tried_endpoints: Vec::new(),
     })
 }
 
 /// A refusal as unknown, unless the configuration is too old to say so.
-fn unknown(cx: &PublishedContext, refusal: Refusal, now: SystemTime) -> Refusal {
-    let is_trusted = cx.shared.config_age(now).is_some_and(|age| age <= TRUSTED_AGE);
+fn refuse_unknown(cx: &PublishedContext, refusal: Refusal, now: SystemTime) -> Refusal {
+    let is_trusted = cx.shared.config_age(now).is_some_and(|age| age <= MAX_TRUSTED_CONFIG_AGE);
     if is_trusted { refusal } else { Refusal::StaleConfig }
 }
 
-type Identity = Option<(AccountId, Option<u8>)>;
+type AccountAndPriority = Option<(AccountId, Option<u8>)>;
 
 fn find_account(
     cx: &PublishedContext,
     routes: &RouteTable,
     route: &PublishedRoute,
-    facts: &RequestAttributes,
+    attributes: &RequestAttributes,
     now: SystemTime,
-) -> Result<Identity, Refusal> {
+) -> Result<AccountAndPriority, Refusal> {
     if route.is_public || !routes.needs_keys() {
         return Ok(None);
     }
-    let account = facts.key.as_deref().and_then(|key| routes.account(key));
-    let account = account.ok_or_else(|| unknown(cx, Refusal::UnknownKey, now))?;
+    let account = attributes.key.as_deref().and_then(|key| routes.account(key));
+    let account = account.ok_or_else(|| refuse_unknown(cx, Refusal::UnknownKey, now))?;
     if !cx.shared.may_use_key(now) {
         return Err(Refusal::StaleConfig);
     }
--- a/havengrade_router/src/published/attempt.rs
+++ b/havengrade_router/src/published/attempt.rs
@@ -12,11 +12,11 @@
         active_request::ActiveRequest,
         connection_pool::{ConnectionError, EndpointConnection},
         context::PublishedContext,
-        endpoint_choice::{ChosenEndpoint, work_at},
-        outcomes::{Awaited, note_broken},
+        endpoint_choice::{ChosenEndpoint, known_work},
+        outcomes::{FirstByteTimer, record_broken_outcome},
         ports::AnswerHead,
         quarantine::record_broken_attempt,
-        rewrite::encode,
+        rewrite::encode_request,
         signals,
     },
     quarantine::format_fingerprint,
@@ -24,15 +24,15 @@
 
 /// Time for which a kept connection may have rested before a request that must not be repeated; a longer
 /// rest makes it likelier that the endpoint closes it just then.
-const MAX_IDLE_ONCE: Duration = Duration::from_millis(600);
+const MAX_IDLE_IF_NOT_REPEATABLE: Duration = Duration::from_millis(600);
 /// Time for which a kept connection may have rested before a request that may be repeated.
-const MAX_IDLE: Duration = Duration::from_secs(8);
+const MAX_IDLE_IF_REPEATABLE: Duration = Duration::from_secs(8);
 /// Time beyond a route's limit by which an endpoint may end its own work before we end it.
-pub(super) const LIMIT_SLACK: Duration = Duration::from_millis(30);
+pub(super) const DEADLINE_SLACK: Duration = Duration::from_millis(30);
 /// Failures in a row after which an endpoint is passed over.
-const EJECT_AFTER: u32 = 2;
+const MAX_FAILURES_IN_A_ROW: u32 = 2;
 /// Time for which it is passed over.
-const EJECT_FOR: Duration = Duration::from_secs(2);
+const EJECTION_TIME: Duration = Duration::from_secs(2);
 
 /// A try at an endpoint.
 #[derive(Clone, Debug)]
@@ -42,15 +42,15 @@
     /// How busy it was.
     pub(super) load: Load,
     /// When the request was sent.
-    pub(super) sent: SystemTime,
+    pub(super) sent_at: SystemTime,
 }
 
 /// A try at an endpoint that got the head of an answer.
 pub(super) struct AnsweredAttempt {
     /// The try.
-    pub(super) made: Attempt,
+    pub(super) attempt: Attempt,
     /// The connection; dropping it ends the work on it.
-    pub(super) channel: EndpointConnection,
+    pub(super) connection: EndpointConnection,
     /// Head of the answer.
     pub(super) head: response::Parts,
     /// Body of the answer.
@@ -62,85 +62,90 @@
 }
 
 /// Sends a request to an endpoint and waits for the head of its answer.
-pub(super) async fn open(
+pub(super) async fn send_attempt(
     cx: &PublishedContext,
-    job: &ActiveRequest,
+    request: &ActiveRequest,
     chosen: ChosenEndpoint,
     resume_after: Option<&str>,
 ) -> Result<AnsweredAttempt, RunState> {
     let endpoint = &chosen.endpoint;
-    let in_flight = cx.shared.endpoint_states.enter_with(&endpoint.id, chosen.tokens);
+    let in_flight = cx.shared.endpoint_states.enter_with(&endpoint.id, chosen.prompt_tokens);
     let begun = cx.shared.clock.now();
-    let max_idle = if job.attempts.is_repeatable() { MAX_IDLE } else { MAX_IDLE_ONCE };
-    let (mut channel, response, mut made) = match exchange(cx, job, &chosen, resume_after, max_idle).await {
+    let max_idle = if request.attempts.is_repeatable() { MAX_IDLE_IF_REPEATABLE } else { MAX_IDLE_IF_NOT_REPEATABLE };
+    let (mut connection, response, mut attempt) = match exchange(cx, request, &chosen, resume_after, max_idle).await {
         // A kept connection may have ended just before; whether the endpoint lives, a new one tells.
-        Err(ConnectionError::NotSent { .. }) => exchange(cx, job, &chosen, resume_after, Duration::ZERO).await,
+        Err(ConnectionError::NotSent { .. }) => exchange(cx, request, &chosen, resume_after, Duration::ZERO).await,
         exchanged => exchanged,
     }
-    .map_err(|error| failed(cx, job, endpoint, begun, &error))?;
+    .map_err(|error| record_connection_failure(cx, request, endpoint, begun, &error))?;
     let (head, body) = response.into_parts();
-    let facts = cx.shared.dialect.decode_answer(head.status, &head.headers);
-    if let Some(keep) = facts.keep_alive {
-        channel.set_idle_timeout(keep);
+    let answer_head = cx.shared.dialect.decode_answer(head.status, &head.headers);
+    if let Some(keep) = answer_head.keep_alive {
+        connection.set_idle_timeout(keep);
     }
-    signals::record_answer_signals(cx, job, endpoint, head.status, &facts);
-    if let Some(load) = facts.load {
+    signals::record_answer_signals(cx, request, endpoint, head.status, &answer_head);
+    if let Some(load) = answer_head.load {
         // A VM that has just started does not know what the others sent there.
-        made.load = made.load.max(Load::of(load.running + load.waiting, endpoint.slots));
+        attempt.load = attempt.load.max(Load::of(load.running + load.waiting, endpoint.slots));
     }
-    check(cx, job, endpoint, head.status, &facts)?;
-    Ok(AnsweredAttempt { made, channel, head, body, in_flight, confidence: facts.confidence })
+    check_answer_head(cx, request, endpoint, head.status, &answer_head)?;
+    Ok(AnsweredAttempt { attempt, connection, head, body, in_flight, confidence: answer_head.confidence })
 }
 
 /// Sends a request over a connection that rested for less than `max_idle`, or a new one.
 async fn exchange(
     cx: &PublishedContext,
-    job: &ActiveRequest,
+    request: &ActiveRequest,
     ChosenEndpoint { endpoint, load, .. }: &ChosenEndpoint,
     resume_after: Option<&str>,
     max_idle: Duration,
 ) -> Result<(EndpointConnection, Response<Incoming>, Attempt), ConnectionError> {
     let now = cx.shared.clock.now();
-    let mut channel = cx.shared.connection_pool.acquire(&endpoint.id, endpoint.address, max_idle, now).await?;
-    let sent = cx.shared.clock.now();
-    let request = encode(cx, job, endpoint, resume_after, sent);
-    let made = Attempt { endpoint: endpoint.clone(), load: *load, sent };
-    let awaited = Awaited::new(cx, job, &made);
-    let Ok(response) = timeout(job.patience(sent) + LIMIT_SLACK, channel.send(request)).await else {
+    let mut connection = cx.shared.connection_pool.acquire(&endpoint.id, endpoint.address, max_idle, now).await?;
+    let sent_at = cx.shared.clock.now();
+    let outgoing = encode_request(cx, request, endpoint, resume_after, sent_at);
+    let attempt = Attempt { endpoint: endpoint.clone(), load: *load, sent_at };
+    let first_byte_timer = FirstByteTimer::new(cx, request, &attempt);
+    let Ok(response) = timeout(request.attempt_timeout(sent_at) + DEADLINE_SLACK, connection.send(outgoing)).await
+    else {
         return Err(ConnectionError::NoAnswer);
     };
-    awaited.end();
-    Ok((channel, response?, made))
+    first_byte_timer.stop();
+    Ok((connection, response?, attempt))
 }
 
 /// Tells an answer that can be used from one that can't.
-fn check(
+fn check_answer_head(
     cx: &PublishedContext,
-    job: &ActiveRequest,
+    request: &ActiveRequest,
     endpoint: &ListedEndpoint,
     status: StatusCode,
-    facts: &AnswerHead,
+    answer_head: &AnswerHead,
 ) -> Result<(), RunState> {
-    let is_other = facts.request.as_ref().is_some_and(|id| *id != job.id);
-    if is_other {
-        log_try(job, endpoint, "the answer belongs to another request");
-        note_broken(cx, job, endpoint);
+    let is_for_other_request = answer_head.request.as_ref().is_some_and(|id| *id != request.id);
+    if is_for_other_request {
+        log_failed_attempt(request, endpoint, "the answer belongs to another request");
+        record_broken_outcome(cx, request, endpoint);
         return Err(RunState::MayHaveRun);
     }
-    if facts.run.is_surely_not_run() {
-        log_try(job, endpoint, if status == StatusCode::MISDIRECTED_REQUEST { "not the endpoint" } else { "full" });
+    if answer_head.run.is_surely_not_run() {
+        log_failed_attempt(
+            request,
+            endpoint,
+            if status == StatusCode::MISDIRECTED_REQUEST { "not the endpoint" } else { "full" },
+        );
         if status == StatusCode::MISDIRECTED_REQUEST {
-            fail(cx, endpoint);
-        } else if looks_free(cx, endpoint, facts)
+            record_failure(cx, endpoint);
+        } else if has_free_slots(cx, endpoint, answer_head)
             && let Some(slot) = cx.shared.endpoint_states.slot(&endpoint.id)
         {
             slot.reject(cx.shared.clock.now());
         }
         return Err(RunState::NotRun);
     }
-    if !facts.is_authentic {
-        log_try(job, endpoint, "the answer has no id or no signature");
-        note_broken(cx, job, endpoint);
+    if !answer_head.is_authentic {
+        log_failed_attempt(request, endpoint, "the answer has no id or no signature");
+        record_broken_outcome(cx, request, endpoint);
         return Err(RunState::MayHaveRun);
     }
     Ok(())
@@ -149,30 +154,30 @@
 /// Whether an endpoint that turned a request away has room for it, by its own word or as far as is known.
 ///
 /// One that is full looks full, and takes requests again as soon as some of its own have ended.
-fn looks_free(cx: &PublishedContext, endpoint: &ListedEndpoint, facts: &AnswerHead) -> bool {
-    let told = facts.load.map(|load| load.running + load.waiting);
-    let requests = told.unwrap_or_else(|| work_at(cx, endpoint).requests);
+fn has_free_slots(cx: &PublishedContext, endpoint: &ListedEndpoint, answer_head: &AnswerHead) -> bool {
+    let told = answer_head.load.map(|load| load.running + load.waiting);
+    let requests = told.unwrap_or_else(|| known_work(cx, endpoint).requests);
     requests < endpoint.slots
 }
 
 /// Notes a failure of the connection; tells how far the request got.
-fn failed(
+fn record_connection_failure(
     cx: &PublishedContext,
-    job: &ActiveRequest,
+    request: &ActiveRequest,
     endpoint: &ListedEndpoint,
     begun: SystemTime,
     error: &ConnectionError,
 ) -> RunState {
-    log_try(job, endpoint, &error.to_string());
+    log_failed_attempt(request, endpoint, &error.to_string());
     let state = run_state(error);
     if matches!(error, ConnectionError::Lost { .. }) {
-        note_broken(cx, job, endpoint);
+        record_broken_outcome(cx, request, endpoint);
     }
     if state == RunState::MayHaveRun {
-        record_broken_attempt(cx, job, endpoint, begun);
+        record_broken_attempt(cx, request, endpoint, begun);
     }
     // One refused connection says more than a failed answer does.
-    fail_after(cx, endpoint, if state == RunState::NotSent { 1 } else { EJECT_AFTER });
+    record_failure_with_threshold(cx, endpoint, if state == RunState::NotSent { 1 } else { MAX_FAILURES_IN_A_ROW });
     state
 }
 
@@ -183,24 +188,24 @@
     }
 }
 
-pub(super) fn fail(cx: &PublishedContext, endpoint: &ListedEndpoint) {
-    fail_after(cx, endpoint, EJECT_AFTER);
+pub(super) fn record_failure(cx: &PublishedContext, endpoint: &ListedEndpoint) {
+    record_failure_with_threshold(cx, endpoint, MAX_FAILURES_IN_A_ROW);
 }
 
 /// Notes a failure; after so many in a row the endpoint is passed over for a time.
-fn fail_after(cx: &PublishedContext, endpoint: &ListedEndpoint, failures: u32) {
+fn record_failure_with_threshold(cx: &PublishedContext, endpoint: &ListedEndpoint, failures: u32) {
     if let Some(slot) = cx.shared.endpoint_states.slot(&endpoint.id) {
-        slot.fail(failures, EJECT_FOR, cx.shared.clock.now());
+        slot.fail(failures, EJECTION_TIME, cx.shared.clock.now());
     }
 }
 
-pub(super) fn log_try(job: &ActiveRequest, endpoint: &ListedEndpoint, outcome: &str) {
+pub(super) fn log_failed_attempt(request: &ActiveRequest, endpoint: &ListedEndpoint, outcome: &str) {
     log::info!(
-        request = job.id.as_str(),
+        request = request.id.as_str(),
         endpoint = endpoint.id.as_str(),
         version = endpoint.version.as_str(),
-        mark = format_fingerprint(job.fingerprint()).as_str(),
-        tries = job.tried.len();
+        mark = format_fingerprint(request.fingerprint()).as_str(),
+        tries = request.tried_endpoints.len();
         "try failed: {outcome}"
     );
 }
--- a/havengrade_router/src/published/connection_pool.rs
+++ b/havengrade_router/src/published/connection_pool.rs
@@ -105,7 +105,7 @@
 }
 
 struct Idle {
-    channel: EndpointConnection,
+    connection: EndpointConnection,
     since: SystemTime,
 }
 
@@ -134,9 +134,9 @@
         max_idle: Duration,
         now: SystemTime,
     ) -> Result<EndpointConnection, ConnectionError> {
-        while let Some(mut channel) = self.take_idle(endpoint, max_idle, now) {
-            if matches!(timeout(READY_TIMEOUT, channel.sender.ready()).await, Ok(Ok(()))) {
-                return Ok(channel);
+        while let Some(mut connection) = self.take_idle(endpoint, max_idle, now) {
+            if matches!(timeout(READY_TIMEOUT, connection.sender.ready()).await, Ok(Ok(()))) {
+                return Ok(connection);
             }
         }
         self.connect(address).await
@@ -144,11 +144,11 @@
 
     fn take_idle(&self, endpoint: &str, max_idle: Duration, now: SystemTime) -> Option<EndpointConnection> {
         let mut idle = lock(&self.idle);
-        let kept = idle.get_mut(endpoint)?;
-        while let Some(candidate) = kept.pop() {
-            let rested = now.duration_since(candidate.since).unwrap_or_default();
-            if !candidate.channel.sender.is_closed() && rested < max_idle.min(candidate.channel.idle_timeout) {
-                return Some(candidate.channel);
+        let idle_connections = idle.get_mut(endpoint)?;
+        while let Some(candidate) = idle_connections.pop() {
+            let idle_time = now.duration_since(candidate.since).unwrap_or_default();
+            if !candidate.connection.sender.is_closed() && idle_time < max_idle.min(candidate.connection.idle_timeout) {
+                return Some(candidate.connection);
             }
         }
         None
@@ -158,9 +158,9 @@
     pub async fn probe(&self, endpoint: &str, address: SocketAddr, now: SystemTime) -> ProbeResult {
         let (found, connection) = probe(&*self.network, address, self.connect_timeout).await;
         if let Some(connection) = connection
-            && let Ok(channel) = handshake(connection, address).await
+            && let Ok(connection) = handshake(connection, address).await
         {
-            self.release(endpoint, channel, now);
+            self.release(endpoint, connection, now);
         }
         found
     }
@@ -175,26 +175,26 @@
     }
 
     /// Keeps a connection whose answer was read to its end.
-    pub fn release(&self, endpoint: &str, channel: EndpointConnection, now: SystemTime) {
-        if channel.sender.is_closed() {
+    pub fn release(&self, endpoint: &str, connection: EndpointConnection, now: SystemTime) {
+        if connection.sender.is_closed() {
             return;
         }
         let mut idle = lock(&self.idle);
-        let kept = idle.entry(endpoint.to_owned()).or_default();
-        if kept.len() < MAX_IDLE_CONNECTIONS {
-            kept.push(Idle { channel, since: now });
+        let idle_connections = idle.entry(endpoint.to_owned()).or_default();
+        if idle_connections.len() < MAX_IDLE_CONNECTIONS {
+            idle_connections.push(Idle { connection, since: now });
         }
     }
 
     /// Closes idle connections that rested too long and those to endpoints that are gone.
     pub fn prune(&self, is_listed: impl Fn(&str) -> bool, now: SystemTime) {
         let mut idle = lock(&self.idle);
-        idle.retain(|endpoint, kept| {
-            kept.retain(|entry| {
-                let rested = now.duration_since(entry.since).unwrap_or_default();
-                !entry.channel.sender.is_closed() && rested < entry.channel.idle_timeout
+        idle.retain(|endpoint, idle_connections| {
+            idle_connections.retain(|entry| {
+                let idle_time = now.duration_since(entry.since).unwrap_or_default();
+                !entry.connection.sender.is_closed() && idle_time < entry.connection.idle_timeout
             });
-            !kept.is_empty() && is_listed(endpoint)
+            !idle_connections.is_empty() && is_listed(endpoint)
         });
     }
 }
--- a/havengrade_router/src/published/dialect.rs
+++ b/havengrade_router/src/published/dialect.rs
@@ -62,18 +62,18 @@
         }
     }
 
-    fn encode_request(&self, headers: &mut HeaderMap, order: &ForwardAttributes<'_>) {
+    fn encode_request(&self, headers: &mut HeaderMap, attributes: &ForwardAttributes<'_>) {
         for name in [&KEY, &ACCOUNT, &ENDPOINT, &PRIORITY] {
             headers.remove(name);
         }
-        let millis = u64::try_from(order.time_left.as_millis()).unwrap_or(u64::MAX);
+        let millis = u64::try_from(attributes.time_left.as_millis()).unwrap_or(u64::MAX);
         headers.insert(TIME_LEFT_MS, HeaderValue::from(millis.max(1)));
-        headers.insert(PRIORITY, HeaderValue::from(u16::from(order.priority)));
+        headers.insert(PRIORITY, HeaderValue::from(u16::from(attributes.priority)));
         let texts = [
-            (ENDPOINT, Some(order.endpoint)),
-            (ACCOUNT, order.account),
-            (MODEL, order.model),
-            (LAST_EVENT_ID, order.resume_after),
+            (ENDPOINT, Some(attributes.endpoint)),
+            (ACCOUNT, attributes.account),
+            (MODEL, attributes.model),
+            (LAST_EVENT_ID, attributes.resume_after),
         ];
         for (name, value) in texts {
             if let Some(value) = value.and_then(|value| HeaderValue::from_str(value).ok()) {
--- a/havengrade_router/src/published/endpoint_choice.rs
+++ b/havengrade_router/src/published/endpoint_choice.rs
@@ -26,117 +26,129 @@
     /// The endpoint.
     pub(super) endpoint: ListedEndpoint,
     /// Prompt tokens, in those of the largest model.
-    pub(super) tokens: u32,
+    pub(super) prompt_tokens: u32,
     /// How busy it is.
     pub(super) load: Load,
 }
 
 /// The endpoint for the next try.
-pub(super) fn choose(cx: &PublishedContext, job: &ActiveRequest, now: SystemTime) -> Option<ChosenEndpoint> {
+pub(super) fn choose_endpoint(
+    cx: &PublishedContext,
+    request: &ActiveRequest,
+    now: SystemTime,
+) -> Option<ChosenEndpoint> {
     loop {
-        let chosen = choose_ready(cx, job, now)?;
+        let chosen = choose_ready_endpoint(cx, request, now)?;
         // Another request may have taken the last place there meanwhile.
-        if ServiceSendLimits::new(cx, job).try_reserve(&chosen.endpoint, now) {
+        if ServiceSendLimits::new(cx, request).try_reserve(&chosen.endpoint, now) {
             return Some(chosen);
         }
     }
 }
 
 /// The best of the endpoints that take another request now.
-fn choose_ready(cx: &PublishedContext, job: &ActiveRequest, now: SystemTime) -> Option<ChosenEndpoint> {
+fn choose_ready_endpoint(cx: &PublishedContext, request: &ActiveRequest, now: SystemTime) -> Option<ChosenEndpoint> {
     let usable = cx.shared.usable_endpoints.load();
-    let endpoints = open_endpoints(cx, usable.get(&job.service)?);
-    let session = job.facts.session.as_deref();
-    let share = connection_share(cx, job);
-    let has_room = |endpoint: &&ListedEndpoint| share.is_none_or(|share| in_flight(cx, endpoint) < share);
-    let restrained = ServiceSendLimits::new(cx, job);
-    let versioned = restrained.ready(versioned(cx, job, &endpoints, session, now), now);
-    let versioned =
-        if versioned.is_empty() { restrained.ready(untried(cx, job, &endpoints, now), now) } else { versioned };
-    let (prompt, prefixes) = prompt(cx, job).unzip();
+    let endpoints = outside_emptied_domains(cx, usable.get(&request.service)?);
+    let session = request.attributes.session.as_deref();
+    let share = connection_share(cx, request);
+    let has_room = |endpoint: &&ListedEndpoint| share.is_none_or(|share| own_in_flight(cx, endpoint) < share);
+    let send_limits = ServiceSendLimits::new(cx, request);
+    let eligible = send_limits.ready_endpoints(with_allowed_version(cx, request, &endpoints, session, now), now);
+    let eligible = if eligible.is_empty() {
+        send_limits.ready_endpoints(with_old_version(cx, request, &endpoints, now), now)
+    } else {
+        eligible
+    };
+    let (prompt, prefixes) = prompt(cx, request).unzip();
     let prefixes = prefixes.unwrap_or_default();
-    let candidates = candidates(cx, versioned.into_iter().filter(has_room), &prefixes, now);
+    let candidates = candidates(cx, eligible.into_iter().filter(has_room), &prefixes, now);
     let domain = &cx.shared.settings.vm.failure_domain;
     let sees_all_work = !cx.shared.peers().is_large();
-    let placement =
-        PlacementContext { failure_domain: domain, tried: &job.tried, sees_all_work, prompt: prompt.as_ref(), now };
+    let placement = PlacementContext {
+        failure_domain: domain,
+        tried: &request.tried_endpoints,
+        sees_all_work,
+        prompt: prompt.as_ref(),
+        now,
+    };
     let placed = place(&candidates, placement, &mut *cx.shared.rng())?;
     cx.shared.sent_prefixes().record(&prefixes, &placed.endpoint.id, now);
     let endpoint = placed.endpoint.clone();
-    let load = Load::of(work_at(cx, &endpoint).requests, endpoint.slots);
-    Some(ChosenEndpoint { endpoint, tokens: placed.tokens, load })
+    let load = Load::of(known_work(cx, &endpoint).requests, endpoint.slots);
+    Some(ChosenEndpoint { endpoint, prompt_tokens: placed.tokens, load })
 }
 
 /// The endpoints that do not stand in an emptied failure domain.
-fn open_endpoints<'a>(cx: &PublishedContext, endpoints: &'a [ListedEndpoint]) -> Vec<&'a ListedEndpoint> {
+fn outside_emptied_domains<'a>(cx: &PublishedContext, endpoints: &'a [ListedEndpoint]) -> Vec<&'a ListedEndpoint> {
     let emptied = cx.shared.emptied_domains.load();
     endpoints.iter().filter(|endpoint| !emptied.is_emptied(&endpoint.failure_domain)).collect()
 }
 
 /// The endpoints of versions that may answer.
-fn versioned<'a>(
+fn with_allowed_version<'a>(
     cx: &PublishedContext,
-    job: &ActiveRequest,
+    request: &ActiveRequest,
     endpoints: &[&'a ListedEndpoint],
     session: Option<&str>,
     now: SystemTime,
 ) -> Vec<&'a ListedEndpoint> {
     let rollouts = cx.shared.rollouts();
-    let allowed = rollouts.allowed_versions(&job.service, &job.id, session, cx.shared.rollout_bounds(), now);
-    let is_sound = |endpoint: &&ListedEndpoint| !rollouts.is_rolled_back(&job.service, &endpoint.version);
-    let sound = endpoints.iter().copied().filter(is_sound);
-    let versioned: Vec<_> = sound.clone().filter(|e| allowed.includes(&e.version)).collect();
-    let is_other = |endpoint: &&ListedEndpoint| !rollouts.is_target_version(&job.service, &endpoint.version);
-    let is_kept =
-        matches!(&allowed, AllowedVersions::Only(version) if !rollouts.is_target_version(&job.service, version));
-    if !versioned.is_empty()
-        || !rollouts.may_use_any_version(&job.service)
-        || (is_kept && endpoints.iter().any(is_other))
+    let allowed = rollouts.allowed_versions(&request.service, &request.id, session, cx.shared.rollout_bounds(), now);
+    let is_not_rolled_back = |endpoint: &&ListedEndpoint| !rollouts.is_rolled_back(&request.service, &endpoint.version);
+    let not_rolled_back = endpoints.iter().copied().filter(is_not_rolled_back);
+    let eligible: Vec<_> = not_rolled_back.clone().filter(|e| allowed.includes(&e.version)).collect();
+    let is_other = |endpoint: &&ListedEndpoint| !rollouts.is_target_version(&request.service, &endpoint.version);
+    let has_affinity_to_old =
+        matches!(&allowed, AllowedVersions::Only(version) if !rollouts.is_target_version(&request.service, version));
+    if !eligible.is_empty()
+        || !rollouts.may_use_any_version(&request.service)
+        || (has_affinity_to_old && endpoints.iter().any(is_other))
     {
         // Where another version has replaced that of the session, there is nothing that the session may go to.
-        return versioned;
+        return eligible;
     }
     // The old version has left the list: the roll-out has ended, and this VM has not heard of it yet.
-    sound.collect()
+    not_rolled_back.collect()
 }
 
 /// The endpoints of old versions, for a request that a new one would have been tried with.
-fn untried<'a>(
+fn with_old_version<'a>(
     cx: &PublishedContext,
-    job: &ActiveRequest,
+    request: &ActiveRequest,
     endpoints: &[&'a ListedEndpoint],
     now: SystemTime,
 ) -> Vec<&'a ListedEndpoint> {
     let rollouts = cx.shared.rollouts();
-    let session = job.facts.session.as_deref();
-    if !rollouts.may_use_old_versions(&job.service, session, cx.shared.rollout_bounds(), now) {
+    let session = request.attributes.session.as_deref();
+    if !rollouts.may_use_old_versions(&request.service, session, cx.shared.rollout_bounds(), now) {
         return Vec::new();
     }
-    let is_old = |endpoint: &&ListedEndpoint| !rollouts.is_target_version(&job.service, &endpoint.version);
-    let is_sound = |endpoint: &&ListedEndpoint| !rollouts.is_rolled_back(&job.service, &endpoint.version);
-    endpoints.iter().copied().filter(is_old).filter(is_sound).collect()
+    let is_old = |endpoint: &&ListedEndpoint| !rollouts.is_target_version(&request.service, &endpoint.version);
+    let is_not_rolled_back = |endpoint: &&ListedEndpoint| !rollouts.is_rolled_back(&request.service, &endpoint.version);
+    endpoints.iter().copied().filter(is_old).filter(is_not_rolled_back).collect()
 }
 
 /// Why no endpoint was found for a request.
-pub(super) fn why_none(cx: &PublishedContext, job: &ActiveRequest, now: SystemTime) -> Refusal {
+pub(super) fn refusal_without_endpoint(cx: &PublishedContext, request: &ActiveRequest, now: SystemTime) -> Refusal {
     let usable = cx.shared.usable_endpoints.load();
-    let listed = usable.get(&job.service).map(Vec::as_slice).unwrap_or_default();
-    let endpoints = open_endpoints(cx, listed);
+    let listed = usable.get(&request.service).map(Vec::as_slice).unwrap_or_default();
+    let endpoints = outside_emptied_domains(cx, listed);
     if endpoints.is_empty() && !listed.is_empty() {
         return Refusal::DomainsEmptied { known_for: cx.shared.emptied_domains.load().emptied_for(now) };
     }
-    let session = job.facts.session.as_deref();
-    let versioned = versioned(cx, job, &endpoints, session, now);
-    if !versioned.is_empty() {
-        return match ServiceSendLimits::new(cx, job).first_ready(&versioned, now) {
+    let session = request.attributes.session.as_deref();
+    let eligible = with_allowed_version(cx, request, &endpoints, session, now);
+    if !eligible.is_empty() {
+        return match ServiceSendLimits::new(cx, request).earliest_readiness(&eligible, now) {
             Readiness::Now => Refusal::NoEndpoint,
             Readiness::After(retry_after) => Refusal::EndpointsAtLimit { retry_after },
             Readiness::Never => Refusal::EndpointsShuttingDown,
         };
     }
     let rollouts = cx.shared.rollouts();
-    let is_bad = |endpoint: &&ListedEndpoint| rollouts.is_halted(&job.service, &endpoint.version);
-    if !rollouts.may_use_any_version(&job.service) && endpoints.iter().all(is_bad) {
+    let is_bad = |endpoint: &&ListedEndpoint| rollouts.is_halted(&request.service, &endpoint.version);
+    if !rollouts.may_use_any_version(&request.service) && endpoints.iter().all(is_bad) {
         return Refusal::BadVersion;
     }
     let left = session.and_then(|session| rollouts.session_time_left(session, cx.shared.rollout_bounds(), now));
@@ -147,13 +159,13 @@
 }
 
 /// Connections to one endpoint of the request's service that this VM may have.
-fn connection_share(cx: &PublishedContext, job: &ActiveRequest) -> Option<u32> {
+fn connection_share(cx: &PublishedContext, request: &ActiveRequest) -> Option<u32> {
     let vms = cx.shared.peers().len() + 1;
-    cx.shared.routes.load().service(&job.service)?.connection_share(vms)
+    cx.shared.routes.load().service(&request.service)?.connection_share(vms)
 }
 
 /// Connections of this VM to an endpoint that are in use; kept ones are used before new ones are opened.
-fn in_flight(cx: &PublishedContext, endpoint: &ListedEndpoint) -> u32 {
+fn own_in_flight(cx: &PublishedContext, endpoint: &ListedEndpoint) -> u32 {
     cx.shared.endpoint_states.slot(&endpoint.id).map_or(0, |slot| slot.in_flight())
 }
 
@@ -171,12 +183,12 @@
 }
 
 fn candidate<'a>(cx: &PublishedContext, endpoint: &'a ListedEndpoint) -> Candidate<'a> {
-    let work = work_at(cx, endpoint);
+    let work = known_work(cx, endpoint);
     Candidate { endpoint, state: cx.shared.endpoint_states.state(&endpoint.id), work, cached_tokens: 0 }
 }
 
 /// The work in progress at an endpoint, of this VM and of the others as far as they told.
-pub(super) fn work_at(cx: &PublishedContext, endpoint: &ListedEndpoint) -> Work {
+pub(super) fn known_work(cx: &PublishedContext, endpoint: &ListedEndpoint) -> Work {
     let own = cx.shared.endpoint_states.slot(&endpoint.id);
     let (requests, tokens) = own.map_or((0, 0), |slot| (slot.in_flight(), slot.unread()));
     let others = cx.shared.peers().work(&endpoint.id);
@@ -184,14 +196,15 @@
 }
 
 /// The prompt of a generation, weighed by how much work its model is, and its beginnings that others share.
-fn prompt(cx: &PublishedContext, job: &ActiveRequest) -> Option<(Prompt, Vec<Prefix>)> {
-    let total = job.facts.tokens?.prompt;
+fn prompt(cx: &PublishedContext, request: &ActiveRequest) -> Option<(Prompt, Vec<Prefix>)> {
+    let total = request.attributes.tokens?.prompt;
     let routes = cx.shared.routes.load();
-    let weight = routes.service(&job.service).map_or(1.0, |service| service.relative_work(job.model.as_deref()));
+    let weight =
+        routes.service(&request.service).map_or(1.0, |service| service.relative_work(request.model.as_deref()));
     let weigh = |tokens: u32| (f64::from(tokens) * weight) as u32;
-    let shared = job.facts.prompt_parts.split_last().map_or(&[][..], |(_, shared)| shared);
+    let shared = request.attributes.prompt_parts.split_last().map_or(&[][..], |(_, shared)| shared);
     // What is cached is cached for one model.
-    let model = job.model.as_deref().unwrap_or_default();
+    let model = request.model.as_deref().unwrap_or_default();
     let mut shared_tokens = 0u32;
     let prefix = |part: &PromptPart| {
         shared_tokens = shared_tokens.saturating_add(part.tokens).min(total);
--- a/havengrade_router/src/published/event_stream.rs
+++ b/havengrade_router/src/published/event_stream.rs
@@ -19,34 +19,35 @@
     endpoints::InFlight,
     published::{
         active_request::ActiveRequest,
-        attempt::{AnsweredAttempt, Attempt, fail, log_try, open},
+        attempt::{AnsweredAttempt, Attempt, log_failed_attempt, record_failure, send_attempt},
         connection_pool::EndpointConnection,
         context::PublishedContext,
-        endpoint_choice::choose,
+        endpoint_choice::choose_endpoint,
         event_timer::EventTimer,
         outcomes::{
-            Awaited, InProgress, count_answer, failure_of, note_broken, note_end, note_first, note_pace, note_session,
-            note_session_end, release_session, succeed,
+            FirstByteTimer, InProgressGuard, extend_session, record_answer_metrics, record_broken_outcome,
+            record_event_time, record_first_byte_time, record_outcome, record_session_version, record_success,
+            release_session, version_failure,
         },
         quarantine::{may_resume, record_abandoned_attempt, record_answer, record_broken_attempt},
         refusal::{AnswerBody, BodyError},
-        rewrite::answer_head,
+        rewrite::encode_answer_head,
     },
 };
 
 /// Pieces of a stream that wait for a caller who reads slowly.
-const WAITING_PIECES: usize = 4;
+const MAX_WAITING_CHUNKS: usize = 4;
 /// Pause after which a stream is taken up elsewhere, as a multiple of the pause that counts as in time.
-const STALL_FACTOR: u32 = 2;
+const STALL_TIMEOUT_FACTOR: u32 = 2;
 /// Pause after which a stream is taken up elsewhere, where its route names no pause.
-const DEFAULT_STALL: Duration = Duration::from_secs(2);
+const DEFAULT_STALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Ends an event.
 const EVENT_END: &[u8] = b"\n\n";
 /// Largest event, in bytes.
-const MAX_EVENT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Complete events, as they came.
-struct Piece {
+struct EventChunk {
     bytes: Bytes,
     events: u32,
     last_id: Option<String>,
@@ -54,14 +55,14 @@
 
 /// Why a stream did not go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Broken {
+enum StreamFault {
     /// The connection ended too early.
     CutOff,
     /// Nothing came for too long.
     Stalled,
 }
 
-impl Broken {
+impl StreamFault {
     fn name(self) -> &'static str {
         match self {
             Self::CutOff => "the stream broke off",
@@ -71,45 +72,45 @@
 }
 
 /// The events of one run at an endpoint.
-struct Source {
-    made: Attempt,
-    channel: EndpointConnection,
+struct EndpointStream {
+    attempt: Attempt,
+    connection: EndpointConnection,
     body: Incoming,
     buf: BytesMut,
     in_flight: InFlight,
     event_timer: EventTimer,
 }
 
-impl Source {
-    fn new(opened: AnsweredAttempt) -> Self {
-        let AnsweredAttempt { made, channel, body, in_flight, .. } = opened;
-        Self { made, channel, body, buf: BytesMut::new(), in_flight, event_timer: EventTimer::default() }
+impl EndpointStream {
+    fn new(answered: AnsweredAttempt) -> Self {
+        let AnsweredAttempt { attempt, connection, body, in_flight, .. } = answered;
+        Self { attempt, connection, body, buf: BytesMut::new(), in_flight, event_timer: EventTimer::default() }
     }
 
     /// Notes that events came.
-    fn note_events(&mut self, cx: &PublishedContext, job: &ActiveRequest, events: u32) {
+    fn record_events(&mut self, cx: &PublishedContext, request: &ActiveRequest, events: u32) {
         if let Some(pause) = self.event_timer.record_events(events, cx.shared.clock.now()) {
-            note_pace(cx, job, &self.made, pause);
+            record_event_time(cx, request, &self.attempt, pause);
         }
     }
 
     /// Notes the time per event of a run that ended before it could be measured, or that nobody waits for any longer.
-    fn note_end_of_events(&mut self, cx: &PublishedContext, job: &ActiveRequest) {
+    fn record_remaining_event_time(&mut self, cx: &PublishedContext, request: &ActiveRequest) {
         if let Some(pause) = self.event_timer.finish(cx.shared.clock.now()) {
-            note_pace(cx, job, &self.made, pause);
+            record_event_time(cx, request, &self.attempt, pause);
         }
     }
 
     /// The next complete events; none at the end of the stream.
-    async fn next(&mut self, limit: Duration) -> Result<Option<Piece>, Broken> {
-        timeout(limit, self.read()).await.unwrap_or(Err(Broken::Stalled))
+    async fn next(&mut self, limit: Duration) -> Result<Option<EventChunk>, StreamFault> {
+        timeout(limit, self.read()).await.unwrap_or(Err(StreamFault::Stalled))
     }
 
-    async fn read(&mut self) -> Result<Option<Piece>, Broken> {
+    async fn read(&mut self) -> Result<Option<EventChunk>, StreamFault> {
         loop {
-            if let Some(piece) = take_events(&mut self.buf) {
+            if let Some(chunk) = split_complete_events(&mut self.buf) {
                 self.in_flight.note_read();
-                return Ok(Some(piece));
+                return Ok(Some(chunk));
             }
             match self.body.frame().await {
                 Some(Ok(frame)) => {
@@ -117,24 +118,24 @@
                         self.buf.extend_from_slice(&data);
                     }
                 },
-                Some(Err(_)) => return Err(Broken::CutOff),
+                Some(Err(_)) => return Err(StreamFault::CutOff),
                 None if self.buf.is_empty() => return Ok(None),
-                None => return Err(Broken::CutOff),
+                None => return Err(StreamFault::CutOff),
             }
-            if self.buf.len() > MAX_EVENT {
-                return Err(Broken::CutOff);
+            if self.buf.len() > MAX_EVENT_BYTES {
+                return Err(StreamFault::CutOff);
             }
         }
     }
 }
 
 /// Takes all complete events out of a buffer; an event ends with an empty line.
-fn take_events(buf: &mut BytesMut) -> Option<Piece> {
+fn split_complete_events(buf: &mut BytesMut) -> Option<EventChunk> {
     let end = buf.windows(EVENT_END.len()).rposition(|end| end == EVENT_END)? + EVENT_END.len();
     let bytes = buf.split_to(end).freeze();
     let last_id = last_event_id(&bytes);
     let events = bytes.windows(EVENT_END.len()).filter(|end| *end == EVENT_END).count() as u32;
-    Some(Piece { bytes, events, last_id })
+    Some(EventChunk { bytes, events, last_id })
 }
 
 /// The id of the last event that has one.
@@ -150,63 +151,63 @@
 /// # Errors
 ///
 /// How far the request got, where no event came.
-pub(super) async fn begin(
+pub(super) async fn start(
     cx: &PublishedContext,
-    job: &ActiveRequest,
-    opened: AnsweredAttempt,
-    guard: &mut Option<InProgress>,
+    request: &ActiveRequest,
+    answered: AnsweredAttempt,
+    guard: &mut Option<InProgressGuard>,
 ) -> Result<Response<AnswerBody>, RunState> {
-    let (sent, head) = (opened.made.sent, opened.head.clone());
-    let mut source = Source::new(opened);
+    let (sent_at, head) = (answered.attempt.sent_at, answered.head.clone());
+    let mut upstream = EndpointStream::new(answered);
     let now = cx.shared.clock.now();
-    let waited = now.duration_since(sent).unwrap_or_default();
-    let patience = job.patience(now).saturating_sub(waited);
-    let made = source.made.clone();
-    let awaited = Awaited::new(cx, job, &made);
-    let first = match source.next(patience).await {
+    let waited = now.duration_since(sent_at).unwrap_or_default();
+    let first_event_timeout = request.attempt_timeout(now).saturating_sub(waited);
+    let attempt = upstream.attempt.clone();
+    let first_byte_timer = FirstByteTimer::new(cx, request, &attempt);
+    let first = match upstream.next(first_event_timeout).await {
         Ok(first) => first,
-        Err(broken) => {
-            log_try(job, &source.made.endpoint, broken.name());
-            if broken == Broken::CutOff {
-                awaited.end();
-                note_broken(cx, job, &source.made.endpoint);
+        Err(fault) => {
+            log_failed_attempt(request, &upstream.attempt.endpoint, fault.name());
+            if fault == StreamFault::CutOff {
+                first_byte_timer.stop();
+                record_broken_outcome(cx, request, &upstream.attempt.endpoint);
             }
-            record_broken_attempt(cx, job, &source.made.endpoint, sent);
-            fail(cx, &source.made.endpoint);
+            record_broken_attempt(cx, request, &upstream.attempt.endpoint, sent_at);
+            record_failure(cx, &upstream.attempt.endpoint);
             return Err(RunState::MayHaveRun);
         },
     };
-    awaited.end();
+    first_byte_timer.stop();
     let now = cx.shared.clock.now();
-    let first_after = now.duration_since(sent).unwrap_or_default();
-    note_first(cx, job, &made, first_after);
+    let first_after = now.duration_since(sent_at).unwrap_or_default();
+    record_first_byte_time(cx, request, &attempt, first_after);
     let status = head.status;
-    count_answer(job, status, now);
-    let head = answer_head(cx, head);
-    let (tx, rx) = mpsc::channel(WAITING_PIECES);
-    let relay = Relay { cx: cx.clone(), last_id: None, first_after, resumed: 0, tx };
+    record_answer_metrics(request, status, now);
+    let head = encode_answer_head(cx, head);
+    let (caller, rx) = mpsc::channel(MAX_WAITING_CHUNKS);
+    let relay = StreamRelay { cx: cx.clone(), last_id: None, first_after, resumed: 0, caller };
     let guard = guard.take();
-    let job = job.clone();
+    let request = request.clone();
     let end = cx.forced_shutdown.clone();
     tokio::spawn(async move {
         let _guard = guard;
-        end.run_until_cancelled(relay.run(job, source, first)).await;
+        end.run_until_cancelled(relay.run(request, upstream, first)).await;
     });
-    let pieces = stream::unfold(rx, |mut rx| async move { rx.recv().await.map(|piece| (piece, rx)) });
-    Ok(Response::from_parts(head, StreamBody::new(pieces).boxed_unsync()))
+    let chunks = stream::unfold(rx, |mut rx| async move { rx.recv().await.map(|chunk| (chunk, rx)) });
+    Ok(Response::from_parts(head, StreamBody::new(chunks).boxed_unsync()))
 }
 
 /// Passes a stream on to a caller.
-struct Relay {
+struct StreamRelay {
     cx: PublishedContext,
     last_id: Option<String>,
     first_after: Duration,
     resumed: u32,
-    tx: Sender<Result<Frame<Bytes>, BodyError>>,
+    caller: Sender<Result<Frame<Bytes>, BodyError>>,
 }
 
 /// How the relay of one run ended.
-enum Ended {
+enum RelayEnd {
     /// The stream is complete.
     Complete,
     /// The caller has left.
@@ -214,170 +215,180 @@
     /// The time of the request is over.
     TimeOver,
     /// The run broke off.
-    Broken(Broken),
+    Broken(StreamFault),
 }
 
-impl Relay {
-    async fn run(mut self, mut job: ActiveRequest, mut source: Source, first: Option<Piece>) {
-        job.attempts.record(RunState::Ran);
+impl StreamRelay {
+    async fn run(mut self, mut request: ActiveRequest, mut upstream: EndpointStream, first: Option<EventChunk>) {
+        request.attempts.record(RunState::Ran);
         let mut next = first;
         loop {
-            let ended = self.relay(&job, &mut source, next.take()).await;
-            source.note_end_of_events(&self.cx, &job);
-            let broken = match ended {
-                Ended::Complete => return self.finish(&job, source),
-                Ended::CallerLeft => {
-                    record_abandoned_attempt(&self.cx, &job, &source.made.endpoint, source.made.sent);
-                    return self.log_end(&job, Some(&source.made.endpoint), "the caller left");
+            let ended = self.relay(&request, &mut upstream, next.take()).await;
+            upstream.record_remaining_event_time(&self.cx, &request);
+            let fault = match ended {
+                RelayEnd::Complete => return self.finish(&request, upstream),
+                RelayEnd::CallerLeft => {
+                    record_abandoned_attempt(&self.cx, &request, &upstream.attempt.endpoint, upstream.attempt.sent_at);
+                    return self.log_end(&request, Some(&upstream.attempt.endpoint), "the caller left");
                 },
-                Ended::TimeOver => {
-                    record_abandoned_attempt(&self.cx, &job, &source.made.endpoint, source.made.sent);
-                    self.log_end(&job, Some(&source.made.endpoint), "the time limit was reached");
-                    return self.break_off("the time limit was reached").await;
+                RelayEnd::TimeOver => {
+                    record_abandoned_attempt(&self.cx, &request, &upstream.attempt.endpoint, upstream.attempt.sent_at);
+                    self.log_end(&request, Some(&upstream.attempt.endpoint), "the time limit was reached");
+                    return self.abort("the time limit was reached").await;
                 },
-                Ended::Broken(broken) => broken,
+                RelayEnd::Broken(fault) => fault,
             };
-            log_try(&job, &source.made.endpoint, broken.name());
-            if broken == Broken::CutOff {
-                note_broken(&self.cx, &job, &source.made.endpoint);
+            log_failed_attempt(&request, &upstream.attempt.endpoint, fault.name());
+            if fault == StreamFault::CutOff {
+                record_broken_outcome(&self.cx, &request, &upstream.attempt.endpoint);
             }
-            record_broken_attempt(&self.cx, &job, &source.made.endpoint, source.made.sent);
-            fail(&self.cx, &source.made.endpoint);
+            record_broken_attempt(&self.cx, &request, &upstream.attempt.endpoint, upstream.attempt.sent_at);
+            record_failure(&self.cx, &upstream.attempt.endpoint);
             // The run that broke off is ended before another one goes on.
-            drop(source);
-            match self.resume(&mut job).await {
-                Some(resumed) => source = resumed,
+            drop(upstream);
+            match self.resume(&mut request).await {
+                Some(resumed) => upstream = resumed,
                 None => {
-                    self.log_end(&job, None, broken.name());
-                    return self.break_off(broken.name()).await;
+                    self.log_end(&request, None, fault.name());
+                    return self.abort(fault.name()).await;
                 },
             }
         }
     }
 
     /// Passes on the events of one run until it ends.
-    async fn relay(&mut self, job: &ActiveRequest, source: &mut Source, first: Option<Piece>) -> Ended {
-        let stall = job.route.pause_target.map_or(DEFAULT_STALL, |pause| pause * STALL_FACTOR);
+    async fn relay(
+        &mut self,
+        request: &ActiveRequest,
+        upstream: &mut EndpointStream,
+        first: Option<EventChunk>,
+    ) -> RelayEnd {
+        let stall = request.route.pause_target.map_or(DEFAULT_STALL_TIMEOUT, |pause| pause * STALL_TIMEOUT_FACTOR);
         let mut next = first;
         loop {
-            if let Some(piece) = next.take() {
-                source.note_events(&self.cx, job, piece.events);
-                if !self.pass_on(piece).await {
-                    return Ended::CallerLeft;
+            if let Some(chunk) = next.take() {
+                upstream.record_events(&self.cx, request, chunk.events);
+                if !self.send_to_caller(chunk).await {
+                    return RelayEnd::CallerLeft;
                 }
             }
-            let left = job.time_left(self.cx.shared.clock.now());
+            let left = request.time_left(self.cx.shared.clock.now());
             if left.is_zero() {
-                return Ended::TimeOver;
+                return RelayEnd::TimeOver;
             }
             let read = tokio::select! {
                 biased;
-                () = self.tx.closed() => return Ended::CallerLeft,
-                read = source.next(stall.min(left)) => read,
+                () = self.caller.closed() => return RelayEnd::CallerLeft,
+                read = upstream.next(stall.min(left)) => read,
             };
             match read {
-                Ok(Some(piece)) => next = Some(piece),
-                Ok(None) => return Ended::Complete,
-                Err(Broken::Stalled) if left <= stall => return Ended::TimeOver,
-                Err(broken) => return Ended::Broken(broken),
+                Ok(Some(chunk)) => next = Some(chunk),
+                Ok(None) => return RelayEnd::Complete,
+                Err(StreamFault::Stalled) if left <= stall => return RelayEnd::TimeOver,
+                Err(fault) => return RelayEnd::Broken(fault),
             }
         }
     }
 
     /// Hands events to the caller's connection; tells whether it is still there.
-    async fn pass_on(&mut self, piece: Piece) -> bool {
-        if piece.last_id.is_some() {
-            self.last_id = piece.last_id;
+    async fn send_to_caller(&mut self, chunk: EventChunk) -> bool {
+        if chunk.last_id.is_some() {
+            self.last_id = chunk.last_id;
         }
-        self.tx.send(Ok(Frame::data(piece.bytes))).await.is_ok()
+        self.caller.send(Ok(Frame::data(chunk.bytes))).await.is_ok()
     }
 
     /// Takes the stream up at another endpoint.
-    async fn resume(&mut self, job: &mut ActiveRequest) -> Option<Source> {
-        let is_resumable = matches!(job.route.shape, AnswerShape::Events { is_resumable: true });
-        let last_id = self.last_id.clone().or_else(|| job.facts.last_event.clone());
-        while is_resumable && job.attempts.may_try_again() {
+    async fn resume(&mut self, request: &mut ActiveRequest) -> Option<EndpointStream> {
+        let is_resumable = matches!(request.route.shape, AnswerShape::Events { is_resumable: true });
+        let last_id = self.last_id.clone().or_else(|| request.attributes.last_event.clone());
+        while is_resumable && request.attempts.may_try_again() {
             let now = self.cx.shared.clock.now();
-            if job.is_keyed() && !self.cx.shared.may_use_key(now) {
+            if request.requires_key() && !self.cx.shared.may_use_key(now) {
                 return None;
             }
-            if !may_resume(&self.cx, job).await {
-                log::info!(request = job.id.as_str(); "stream not taken up: endpoints end under its request");
+            if !may_resume(&self.cx, request).await {
+                log::info!(request = request.id.as_str(); "stream not taken up: endpoints end under its request");
                 return None;
             }
-            let chosen = choose(&self.cx, job, now)?;
-            if !self.cx.shared.retry_budgets.try_acquire(&job.service) {
-                log::info!(request = job.id.as_str(); "stream not taken up: the retry budget is spent");
+            let chosen = choose_endpoint(&self.cx, request, now)?;
+            if !self.cx.shared.retry_budgets.try_acquire(&request.service) {
+                log::info!(request = request.id.as_str(); "stream not taken up: the retry budget is spent");
                 return None;
             }
-            job.tried.push(chosen.endpoint.id.clone());
-            let opened = tokio::select! {
+            request.tried_endpoints.push(chosen.endpoint.id.clone());
+            let answered = tokio::select! {
                 biased;
-                () = self.tx.closed() => return None,
-                opened = open(&self.cx, job, chosen, last_id.as_deref()) => opened,
+                () = self.caller.closed() => return None,
+                answered = send_attempt(&self.cx, request, chosen, last_id.as_deref()) => answered,
             };
-            match opened {
-                Ok(opened) if opened.head.status.is_success() => {
-                    note_session(&self.cx, job, &opened.made.endpoint.version, now);
+            match answered {
+                Ok(answered) if answered.head.status.is_success() => {
+                    record_session_version(&self.cx, request, &answered.attempt.endpoint.version, now);
                     self.resumed += 1;
-                    job.attempts.record(RunState::Ran);
-                    return Some(self.source(job, opened));
+                    request.attempts.record(RunState::Ran);
+                    return Some(self.resumed_stream(request, answered));
                 },
-                Ok(opened) => {
-                    note_end(&self.cx, job, &opened.made.endpoint, failure_of(opened.head.status));
-                    fail(&self.cx, &opened.made.endpoint);
-                    job.attempts.record(RunState::Ran);
+                Ok(answered) => {
+                    record_outcome(
+                        &self.cx,
+                        request,
+                        &answered.attempt.endpoint,
+                        version_failure(answered.head.status),
+                    );
+                    record_failure(&self.cx, &answered.attempt.endpoint);
+                    request.attempts.record(RunState::Ran);
                 },
                 Err(state) => {
                     if state == RunState::NotSent {
-                        self.cx.shared.retry_budgets.refund(&job.service);
+                        self.cx.shared.retry_budgets.refund(&request.service);
                     }
-                    job.attempts.record(state);
+                    request.attempts.record(state);
                 },
             }
         }
         None
     }
 
-    fn source(&self, job: &ActiveRequest, opened: AnsweredAttempt) -> Source {
+    fn resumed_stream(&self, request: &ActiveRequest, answered: AnsweredAttempt) -> EndpointStream {
         log::info!(
-            request = job.id.as_str(),
-            endpoint = opened.made.endpoint.id.as_str(),
+            request = request.id.as_str(),
+            endpoint = answered.attempt.endpoint.id.as_str(),
             after_event = self.last_id.as_deref().unwrap_or_default();
             "stream taken up"
         );
-        Source::new(opened)
+        EndpointStream::new(answered)
     }
 
-    fn finish(self, job: &ActiveRequest, source: Source) {
-        let Source { made: Attempt { endpoint, .. }, channel, .. } = source;
-        note_end(&self.cx, job, &endpoint, None);
-        note_session_end(&self.cx, job, &endpoint.version);
-        succeed(&self.cx, &endpoint);
-        record_answer(&self.cx, job, &endpoint.version, self.cx.shared.clock.now());
-        self.log_end(job, Some(&endpoint), "complete");
-        self.cx.shared.connection_pool.release(&endpoint.id, channel, self.cx.shared.clock.now());
+    fn finish(self, request: &ActiveRequest, upstream: EndpointStream) {
+        let EndpointStream { attempt: Attempt { endpoint, .. }, connection, .. } = upstream;
+        record_outcome(&self.cx, request, &endpoint, None);
+        extend_session(&self.cx, request, &endpoint.version);
+        record_success(&self.cx, &endpoint);
+        record_answer(&self.cx, request, &endpoint.version, self.cx.shared.clock.now());
+        self.log_end(request, Some(&endpoint), "complete");
+        self.cx.shared.connection_pool.release(&endpoint.id, connection, self.cx.shared.clock.now());
     }
 
     /// Ends the caller's connection visibly unfinished.
-    async fn break_off(self, reason: &'static str) {
+    async fn abort(self, reason: &'static str) {
         metrics::counter!("streams_broken_off", "reason" => reason).increment(1);
         let error: BodyError = reason.into();
         // A caller who has left does not need to be told.
-        drop(self.tx.send(Err(error)).await);
+        drop(self.caller.send(Err(error)).await);
     }
 
-    fn log_end(&self, job: &ActiveRequest, endpoint: Option<&ListedEndpoint>, outcome: &str) {
-        release_session(&self.cx, job.facts.session.as_deref());
-        let took = self.cx.shared.clock.now().duration_since(job.arrived).unwrap_or_default();
+    fn log_end(&self, request: &ActiveRequest, endpoint: Option<&ListedEndpoint>, outcome: &str) {
+        release_session(&self.cx, request.attributes.session.as_deref());
+        let took = self.cx.shared.clock.now().duration_since(request.received_at).unwrap_or_default();
         log::info!(
-            request = job.id.as_str(),
-            route = job.route.name.as_str(),
+            request = request.id.as_str(),
+            route = request.route.name.as_str(),
             endpoint = endpoint.map(|endpoint| endpoint.id.as_str()).unwrap_or_default(),
             version = endpoint.map(|endpoint| endpoint.version.as_str()).unwrap_or_default(),
-            model = job.model.as_deref().unwrap_or_default(),
-            session = job.facts.session.as_deref().unwrap_or_default(),
-            tries = job.tried.len(),
+            model = request.model.as_deref().unwrap_or_default(),
+            session = request.attributes.session.as_deref().unwrap_or_default(),
+            tries = request.tried_endpoints.len(),
             first_event_ms = self.first_after.as_millis() as u64,
             last_event = self.last_id.as_deref().unwrap_or_default(),
             resumed = self.resumed,
--- a/havengrade_router/src/published/framing.rs
+++ b/havengrade_router/src/published/framing.rs
@@ -23,21 +23,21 @@
 
 /// What was seen on a connection.
 #[derive(Clone, Default)]
-pub(super) struct Framing(Arc<AtomicU8>);
+pub(super) struct FramingFlags(Arc<AtomicU8>);
 
 /// A head can be read in two ways.
-const AMBIGUOUS: u8 = 1;
+const AMBIGUOUS_HEAD: u8 = 1;
 /// Bytes came right behind a request.
-const EXCESS: u8 = 2;
+const EXCESS_BYTES: u8 = 2;
 
-impl Framing {
-    fn note(&self, what: u8) {
-        self.0.fetch_or(what, Ordering::AcqRel);
+impl FramingFlags {
+    fn set(&self, flag: u8) {
+        self.0.fetch_or(flag, Ordering::AcqRel);
     }
 
     /// Whether a head could be read in two ways.
     pub(super) fn is_ambiguous(&self) -> bool {
-        self.0.load(Ordering::Acquire) & AMBIGUOUS != 0
+        self.0.load(Ordering::Acquire) & AMBIGUOUS_HEAD != 0
     }
 
     /// Whether the connection must end after the answer that it is at.
@@ -48,7 +48,7 @@
 
 /// Where in a request the next byte stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum Position {
     Head,
     Body {
         left: u64,
@@ -70,23 +70,23 @@
 }
 
 /// Follows the requests of a connection.
-struct Follower {
-    framing: Framing,
-    place: Place,
+struct FramingParser {
+    flags: FramingFlags,
+    position: Position,
     head: Vec<u8>,
     max_head: usize,
 }
 
-impl Follower {
+impl FramingParser {
     /// Looks at bytes as they come; gives how many of them may be passed on.
-    fn look(&mut self, bytes: &[u8]) -> usize {
+    fn parse(&mut self, bytes: &[u8]) -> usize {
         let mut passed = 0;
         while let Some(rest) = bytes.get(passed..).filter(|rest| !rest.is_empty()) {
-            let was_head = self.place == Place::Head;
-            passed += self.step(rest);
-            let has_ended = self.place == Place::Head && (!was_head || self.head.is_empty());
+            let was_head = self.position == Position::Head;
+            passed += self.parse_step(rest);
+            let has_ended = self.position == Position::Head && (!was_head || self.head.is_empty());
             if has_ended && passed < bytes.len() {
-                self.framing.note(EXCESS);
+                self.flags.set(EXCESS_BYTES);
                 return passed;
             }
         }
@@ -94,28 +94,32 @@
     }
 
     /// Looks at some of the bytes; gives how many.
-    fn step(&mut self, bytes: &[u8]) -> usize {
+    fn parse_step(&mut self, bytes: &[u8]) -> usize {
         let first = bytes.first().copied().unwrap_or_default();
-        match self.place {
-            Place::Head => return self.read_head(bytes),
-            Place::Body { left } => return self.skip(bytes, left, |left| Place::Body { left }, Place::Head),
-            Place::ChunkData { left } => {
-                return self.skip(bytes, left, |left| Place::ChunkData { left }, Place::ChunkEnd);
+        match self.position {
+            Position::Head => return self.read_head(bytes),
+            Position::Body { left } => return self.skip(bytes, left, |left| Position::Body { left }, Position::Head),
+            Position::ChunkData { left } => {
+                return self.skip(bytes, left, |left| Position::ChunkData { left }, Position::ChunkEnd);
             },
-            Place::ChunkSize { size, has_extension } => self.place = chunk_size(size, has_extension, first),
-            Place::ChunkEnd if first == b'\n' => self.place = Place::ChunkSize { size: 0, has_extension: false },
-            Place::ChunkEnd => {},
-            Place::Trailer { line: 0 } if first == b'\n' => self.place = Place::Head,
-            Place::Trailer { .. } if first == b'\n' => self.place = Place::Trailer { line: 0 },
-            Place::Trailer { line } => self.place = Place::Trailer { line: line + usize::from(first != b'\r') },
-            Place::Unknown => return bytes.len(),
+            Position::ChunkSize { size, has_extension } => self.position = chunk_size(size, has_extension, first),
+            Position::ChunkEnd if first == b'\n' => {
+                self.position = Position::ChunkSize { size: 0, has_extension: false }
+            },
+            Position::ChunkEnd => {},
+            Position::Trailer { line: 0 } if first == b'\n' => self.position = Position::Head,
+            Position::Trailer { .. } if first == b'\n' => self.position = Position::Trailer { line: 0 },
+            Position::Trailer { line } => {
+                self.position = Position::Trailer { line: line + usize::from(first != b'\r') }
+            },
+            Position::Unknown => return bytes.len(),
         }
         1
     }
 
-    fn skip(&mut self, bytes: &[u8], left: u64, rest: fn(u64) -> Place, then: Place) -> usize {
+    fn skip(&mut self, bytes: &[u8], left: u64, rest: fn(u64) -> Position, then: Position) -> usize {
         let skipped = left.min(bytes.len() as u64);
-        self.place = if skipped == left { then } else { rest(left - skipped) };
+        self.position = if skipped == left { then } else { rest(left - skipped) };
         usize::try_from(skipped).unwrap_or(bytes.len())
     }
 
@@ -127,16 +131,16 @@
         let end = self.head.get(from..).and_then(|tail| tail.windows(4).position(|four| four == b"\r\n\r\n"));
         let Some(end) = end.map(|end| from + end + 4) else {
             if self.head.len() > self.max_head {
-                self.give_up();
+                self.stop_parsing();
             }
             return bytes.len();
         };
         self.head.truncate(end);
-        self.place = match body_of(&self.head) {
-            Some(place) => place,
+        self.position = match body_position(&self.head) {
+            Some(position) => position,
             None => {
-                self.framing.note(AMBIGUOUS);
-                Place::Unknown
+                self.flags.set(AMBIGUOUS_HEAD);
+                Position::Unknown
             },
         };
         self.head.clear();
@@ -144,26 +148,26 @@
     }
 
     /// The HTTP library refuses what is too long by itself.
-    fn give_up(&mut self) {
+    fn stop_parsing(&mut self) {
         self.head.clear();
-        self.place = Place::Unknown;
+        self.position = Position::Unknown;
     }
 }
 
-fn chunk_size(size: u64, has_extension: bool, byte: u8) -> Place {
+fn chunk_size(size: u64, has_extension: bool, byte: u8) -> Position {
     match byte {
-        b'\n' if size == 0 => Place::Trailer { line: 0 },
-        b'\n' => Place::ChunkData { left: size },
-        _ if has_extension || !byte.is_ascii_hexdigit() => Place::ChunkSize { size, has_extension: byte != b'\r' },
+        b'\n' if size == 0 => Position::Trailer { line: 0 },
+        b'\n' => Position::ChunkData { left: size },
+        _ if has_extension || !byte.is_ascii_hexdigit() => Position::ChunkSize { size, has_extension: byte != b'\r' },
         _ => {
             let digit = char::from(byte).to_digit(16).unwrap_or_default();
-            Place::ChunkSize { size: size.saturating_mul(16).saturating_add(u64::from(digit)), has_extension }
+            Position::ChunkSize { size: size.saturating_mul(16).saturating_add(u64::from(digit)), has_extension }
         },
     }
 }
 
 /// Where the body of a head begins; none where its end can be read in two ways.
-fn body_of(head: &[u8]) -> Option<Place> {
+fn body_position(head: &[u8]) -> Option<Position> {
     if has_folded_lines(head) {
         return None;
     }
@@ -171,20 +175,20 @@
     let mut request = httparse::Request::new(&mut headers);
     if request.parse(head).is_err() {
         // The HTTP library refuses it as well.
-        return Some(Place::Unknown);
+        return Some(Position::Unknown);
     }
     let values = |name: &str| {
         let named = request.headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
         named.map(|header| header.value).collect::<Vec<_>>()
     };
     match (values("content-length").as_slice(), values("transfer-encoding").as_slice()) {
-        ([], []) => Some(Place::Head),
-        ([length], []) => match decimal(length)? {
-            0 => Some(Place::Head),
-            left => Some(Place::Body { left }),
+        ([], []) => Some(Position::Head),
+        ([length], []) => match parse_length(length)? {
+            0 => Some(Position::Head),
+            left => Some(Position::Body { left }),
         },
         ([], [coding]) if coding.eq_ignore_ascii_case(b"chunked") => {
-            Some(Place::ChunkSize { size: 0, has_extension: false })
+            Some(Position::ChunkSize { size: 0, has_extension: false })
         },
         _ => None,
     }
@@ -195,43 +199,43 @@
     head.windows(2).any(|pair| matches!(pair, [b'\n', b' ' | b'\t']))
 }
 
-fn decimal(text: &[u8]) -> Option<u64> {
+fn parse_length(text: &[u8]) -> Option<u64> {
     let is_plain = !text.is_empty() && text.iter().all(u8::is_ascii_digit);
     if is_plain { std::str::from_utf8(text).ok()?.parse().ok() } else { None }
 }
 
 /// A connection that is followed; bytes that come right behind a request are not passed on.
-pub(super) struct Followed {
+pub(super) struct FramingCheckedConnection {
     connection: BoxConnection,
-    follower: Follower,
+    parser: FramingParser,
 }
 
-impl Followed {
+impl FramingCheckedConnection {
     /// Follows a connection whose heads may have so many bytes; gives what is seen on it, too.
-    pub(super) fn new(connection: BoxConnection, max_head: usize) -> (Self, Framing) {
-        let framing = Framing::default();
-        let follower = Follower { framing: framing.clone(), place: Place::Head, head: Vec::new(), max_head };
-        (Self { connection, follower }, framing)
+    pub(super) fn new(connection: BoxConnection, max_head: usize) -> (Self, FramingFlags) {
+        let flags = FramingFlags::default();
+        let parser = FramingParser { flags: flags.clone(), position: Position::Head, head: Vec::new(), max_head };
+        (Self { connection, parser }, flags)
     }
 }
 
-impl AsyncRead for Followed {
+impl AsyncRead for FramingCheckedConnection {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let this = &mut *self;
         let before = buf.filled().len();
         let polled = Pin::new(&mut this.connection).poll_read(cx, buf);
-        if this.follower.framing.0.load(Ordering::Acquire) & EXCESS != 0 && buf.filled().len() > before {
+        if this.parser.flags.0.load(Ordering::Acquire) & EXCESS_BYTES != 0 && buf.filled().len() > before {
             // The connection ends with the answer that it is at; nothing more of it is read.
             buf.set_filled(before);
             return Poll::Pending;
         }
-        let passed = this.follower.look(buf.filled().get(before..).unwrap_or_default());
+        let passed = this.parser.parse(buf.filled().get(before..).unwrap_or_default());
         buf.set_filled(before + passed);
         polled
     }
 }
 
-impl AsyncWrite for Followed {
+impl AsyncWrite for FramingCheckedConnection {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.connection).poll_write(cx, buf)
     }
--- a/havengrade_router/src/published/quarantine.rs
+++ b/havengrade_router/src/published/quarantine.rs
@@ -70,7 +70,7 @@
 
 /// Whether a broken stream may be resumed; a trial is a single attempt.
 pub(super) async fn may_resume(cx: &PublishedContext, request: &ActiveRequest) -> bool {
-    !request.is_trial && wait_for_status(cx, request).await == QuarantineStatus::Free
+    !request.is_quarantine_trial && wait_for_status(cx, request).await == QuarantineStatus::Free
 }
 
 /// Admits a request, or refuses it if it is quarantined. Returns the quarantine entry if a trial must be claimed first.
@@ -106,7 +106,7 @@
         },
     };
     let Some(claimed) = claimed else {
-        if now >= request.arrived + MAX_WAIT {
+        if now >= request.received_at + MAX_WAIT {
             return Err(refusal);
         }
         // Reports on the other trial may be lost, but the list includes it.
@@ -125,7 +125,7 @@
         trials = claimed.trials;
         "trial of a quarantined request begins"
     );
-    request.is_trial = true;
+    request.is_quarantine_trial = true;
     Ok(true)
 }
 
--- a/havengrade_router/src/published/refusal.rs
+++ b/havengrade_router/src/published/refusal.rs
@@ -132,7 +132,7 @@
     }
 
     /// Whether the connection should end, so that the caller's next one reaches a VM that can serve.
-    fn ends_connection(self) -> bool {
+    fn closes_connection(self) -> bool {
         matches!(self, Self::Malformed | Self::TooLarge | Self::Starting | Self::StaleConfig | Self::Stopping)
     }
 
@@ -150,7 +150,7 @@
                 headers.insert(RETRY_AFTER, value);
             }
         }
-        if self.ends_connection() {
+        if self.closes_connection() {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
         answer
--- a/havengrade_router/src/published/rewrite.rs
+++ b/havengrade_router/src/published/rewrite.rs
@@ -26,34 +26,34 @@
 ];
 
 /// The caller's request as it goes to an endpoint.
-pub(super) fn encode(
+pub(super) fn encode_request(
     cx: &PublishedContext,
-    job: &ActiveRequest,
+    request: &ActiveRequest,
     endpoint: &ListedEndpoint,
     resume_after: Option<&str>,
     now: SystemTime,
 ) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(job.body.clone()));
-    *request.method_mut() = job.head.method.clone();
-    let path = job.head.uri.path_and_query().cloned();
-    *request.uri_mut() = path.map_or_else(|| job.head.uri.clone(), Uri::from);
-    let mut headers = job.head.headers.clone();
+    let mut outgoing = Request::new(Full::new(request.body.clone()));
+    *outgoing.method_mut() = request.head.method.clone();
+    let path = request.head.uri.path_and_query().cloned();
+    *outgoing.uri_mut() = path.map_or_else(|| request.head.uri.clone(), Uri::from);
+    let mut headers = request.head.headers.clone();
     strip_hop_by_hop(&mut headers);
-    if job.body.is_empty() && !headers.contains_key(header::CONTENT_LENGTH) {
+    if request.body.is_empty() && !headers.contains_key(header::CONTENT_LENGTH) {
         headers.remove(header::CONTENT_LENGTH);
     }
-    let order = ForwardAttributes {
+    let attributes = ForwardAttributes {
         endpoint: &endpoint.id,
-        time_left: job.time_left(now),
-        account: job.account.as_deref(),
-        model: job.model.as_deref(),
+        time_left: request.time_left(now),
+        account: request.account.as_deref(),
+        model: request.model.as_deref(),
         resume_after,
-        priority: job.priority,
-        is_generation: job.facts.tokens.is_some(),
+        priority: request.priority,
+        is_generation: request.attributes.tokens.is_some(),
     };
-    cx.shared.dialect.encode_request(&mut headers, &order);
-    *request.headers_mut() = headers;
-    request
+    cx.shared.dialect.encode_request(&mut headers, &attributes);
+    *outgoing.headers_mut() = headers;
+    outgoing
 }
 
 fn strip_hop_by_hop(headers: &mut HeaderMap) {
@@ -70,7 +70,7 @@
 }
 
 /// The head of an answer as it goes to the caller.
-pub(super) fn answer_head(cx: &PublishedContext, mut head: response::Parts) -> response::Parts {
+pub(super) fn encode_answer_head(cx: &PublishedContext, mut head: response::Parts) -> response::Parts {
     strip_hop_by_hop(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
     cx.shared.dialect.strip_answer(&mut head.headers);
--- a/havengrade_router/src/published/send_limits.rs
+++ b/havengrade_router/src/published/send_limits.rs
@@ -18,13 +18,17 @@
 }
 
 impl<'a> ServiceSendLimits<'a> {
-    pub(super) fn new(cx: &'a PublishedContext, job: &ActiveRequest) -> Self {
-        let cold_per_s = cx.shared.routes.load().service(&job.service).map_or(0.0, |service| service.cold_per_s);
+    pub(super) fn new(cx: &'a PublishedContext, request: &ActiveRequest) -> Self {
+        let cold_per_s = cx.shared.routes.load().service(&request.service).map_or(0.0, |service| service.cold_per_s);
         Self { cx, cold_per_s }
     }
 
     /// The endpoints that take another request from this VM now.
-    pub(super) fn ready<'b>(&self, endpoints: Vec<&'b ListedEndpoint>, now: SystemTime) -> Vec<&'b ListedEndpoint> {
+    pub(super) fn ready_endpoints<'b>(
+        &self,
+        endpoints: Vec<&'b ListedEndpoint>,
+        now: SystemTime,
+    ) -> Vec<&'b ListedEndpoint> {
         if self.cx.shared.send_limits().is_unlimited(self.cold_per_s) {
             return endpoints;
         }
@@ -38,7 +42,7 @@
     }
 
     /// When the first of the endpoints takes another request from this VM.
-    pub(super) fn first_ready(&self, endpoints: &[&ListedEndpoint], now: SystemTime) -> Readiness {
+    pub(super) fn earliest_readiness(&self, endpoints: &[&ListedEndpoint], now: SystemTime) -> Readiness {
         let peers = self.cx.shared.peers();
         let mut send_limits = self.cx.shared.send_limits();
         let readiness = |endpoint: &&ListedEndpoint| {
--- a/havengrade_router/src/published/server.rs
+++ b/havengrade_router/src/published/server.rs
@@ -18,7 +18,7 @@
     published::{
         context::PublishedContext,
         forward::forward,
-        framing::Followed,
+        framing::FramingCheckedConnection,
         refusal::{AnswerBody, Refusal, full_body},
     },
     services::ACCEPT_RETRY_DELAY,
@@ -70,7 +70,7 @@
 
 async fn serve_caller(cx: PublishedContext, connection: BoxConnection) {
     let limits = cx.shared.routes.load().limits();
-    let (connection, framing) = Followed::new(connection, limits.header_bytes.max(MIN_BUFFER));
+    let (connection, framing) = FramingCheckedConnection::new(connection, limits.header_bytes.max(MIN_BUFFER));
     let service = service_fn(|request: Request<Incoming>| {
         let (cx, framing) = (cx.clone(), framing.clone());
         async move {
--- a/havengrade_router/src/published/signals.rs
+++ b/havengrade_router/src/published/signals.rs
@@ -10,31 +10,31 @@
 
 use crate::published::{active_request::ActiveRequest, context::PublishedContext, ports::AnswerHead};
 
-/// Who told what is noted.
+/// Who reported what is noted.
 const OWN_ANSWER: &str = "answer";
 const OTHER_VM: &str = "vm";
 
 /// Takes what the head of an answer says of its endpoint; that of another endpoint at its address says nothing of it.
 pub(super) fn record_answer_signals(
     cx: &PublishedContext,
-    job: &ActiveRequest,
+    request: &ActiveRequest,
     endpoint: &ListedEndpoint,
     status: StatusCode,
-    facts: &AnswerHead,
+    answer_head: &AnswerHead,
 ) {
     if status == StatusCode::MISDIRECTED_REQUEST {
         return;
     }
-    if let Some(load) = facts.load
+    if let Some(load) = answer_head.load
         && let Some(slot) = cx.shared.endpoint_states.slot(&endpoint.id)
     {
         slot.report(load.running + load.waiting, slot.in_flight());
     }
-    let is_answer = facts.request.as_ref() == Some(&job.id);
-    let is_whole = is_answer && facts.is_authentic && status.is_success();
-    let Signal { limit_per_s, is_leaving, .. } = facts.signal;
+    let is_answer = answer_head.request.as_ref() == Some(&request.id);
+    let is_whole = is_answer && answer_head.is_authentic && status.is_success();
+    let Signal { limit_per_s, is_leaving, .. } = answer_head.signal;
     let now = cx.shared.clock.now();
-    let changes = cx.shared.send_limits().record_signal(endpoint, facts.signal, is_whole, now);
+    let changes = cx.shared.send_limits().record_signal(endpoint, answer_head.signal, is_whole, now);
     for change in changes {
         log_change(&endpoint.id, change, OWN_ANSWER);
     }
@@ -44,23 +44,23 @@
 }
 
 /// Takes what another VM tells of endpoints.
-pub(super) fn merge_reported_signals(cx: &PublishedContext, told: Vec<ReportedSignal>, now: SystemTime) {
-    let changes = cx.shared.send_limits().signals.merge_reported(told, now);
+pub(super) fn merge_reported_signals(cx: &PublishedContext, reported: Vec<ReportedSignal>, now: SystemTime) {
+    let changes = cx.shared.send_limits().signals.merge_reported(reported, now);
     for (endpoint, change) in changes {
         log_change(&endpoint, change, OTHER_VM);
     }
 }
 
-fn log_change(endpoint: &str, change: SignalChange, told_by: &str) {
+fn log_change(endpoint: &str, change: SignalChange, source: &str) {
     match change {
         SignalChange::Limited(per_s) => {
-            log::info!(endpoint = endpoint, per_s = per_s, by = told_by; "endpoint names a limit");
+            log::info!(endpoint = endpoint, per_s = per_s, by = source; "endpoint names a limit");
         },
-        SignalChange::Unlimited => log::info!(endpoint = endpoint, by = told_by; "endpoint names no limit any longer"),
-        SignalChange::ShuttingDown => log::info!(endpoint = endpoint, by = told_by; "endpoint says that it leaves"),
-        SignalChange::BackoffRequested(rest) => {
-            let rest_ms = rest.as_millis() as u64;
-            log::info!(endpoint = endpoint, rest_ms = rest_ms, by = told_by; "endpoint asks this VM for rest");
+        SignalChange::Unlimited => log::info!(endpoint = endpoint, by = source; "endpoint names no limit any longer"),
+        SignalChange::ShuttingDown => log::info!(endpoint = endpoint, by = source; "endpoint says that it leaves"),
+        SignalChange::BackoffRequested(backoff) => {
+            let rest_ms = backoff.as_millis() as u64;
+            log::info!(endpoint = endpoint, rest_ms = rest_ms, by = source; "endpoint asks this VM for rest");
         },
     }
 }
