--- a/havengrade_router/src/published/peers.rs
+++ b/havengrade_router/src/published/peers.rs
@@ -1,4 +1,4 @@
-//! The service through which VMs tell each other of their work in progress and of what they saw of new versions.
+//! Service that exchanges reports between VMs: work in progress, evidence on roll-outs, quarantine, endpoint signals.
 
 use std::{
     net::SocketAddr,
@@ -28,7 +28,7 @@
         quarantine::announce_changes,
         signals::merge_reported_signals,
         store_queries::{StoreQueries, answer_query, change_hint},
-        wire::{Report, decode_report, encode_report},
+        wire::{PeerReport, decode_report, encode_report},
     },
     services::send_periodically,
     shared::lock,
@@ -37,22 +37,23 @@
 /// Name of the service.
 pub const NAME: &str = "published-peers";
 
-/// Time between two looks at whether there is something to tell or to ask.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// Time after which a VM reports although nothing has changed.
-const REPORT_EVERY: Duration = Duration::from_millis(1000);
-/// Least time between two reports. Measured: with 50 ms they were a fifth of all bytes between failure domains, and
-/// endpoints were chosen no better.
-const REPORT_PAUSE: Duration = Duration::from_millis(200);
-/// Least time between two reports where there are more VMs than a report goes to, since the bytes grow with the fleet.
-const LARGE_FLEET_PAUSE: Duration = Duration::from_millis(400);
-/// Largest datagram that is read, in bytes; reports fit a packet of a common network by the limits below, and an
-/// answer with many changes of the list of endpoints may be this large.
-const MAX_DATAGRAM: usize = 32 << 10;
-/// Endpoints that a report names; those with the most work come first.
-const MAX_ENDPOINTS: usize = 36;
-
-/// The service.
+/// Interval between two checks for datagrams to send.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between two reports while nothing changes.
+const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
+/// Shortest interval between two reports. At 50 ms, reports were a fifth of all bytes between failure domains, and the
+/// choice of endpoints was no better.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(200);
+/// Shortest interval between two reports in a fleet that is larger than the targets of a report, because the traffic
+/// grows with the fleet.
+const LARGE_FLEET_INTERVAL: Duration = Duration::from_millis(400);
+/// Largest datagram that is read, in bytes. The limits on their entries keep reports within one packet; an answer with
+/// many changes of the endpoint list may be this large.
+const MAX_DATAGRAM_BYTES: usize = 32 << 10;
+/// Maximum number of endpoints in a report; those with the most work come first.
+const MAX_REPORTED_ENDPOINTS: usize = 36;
+
+/// Service of peer reports.
 pub(super) struct PeersService;
 
 #[async_trait]
@@ -70,19 +71,19 @@
 
 struct PeersActor;
 
-/// What the service is told.
+/// Message to the service.
 enum PeersMessage {
-    /// Time to look.
-    Look,
-    /// VMs are to be told that this one has started.
+    /// Checks for datagrams to send.
+    Check,
+    /// Greets VMs after this one has started.
     Greet(Vec<SocketAddr>),
 }
 
-/// Tells VMs that may not know this one that it has started; usual reports go to a few others only.
-pub(super) fn greet(cx: &PublishedContext, others: Vec<SocketAddr>) {
+/// Greets VMs that may not know this one yet; its periodic reports go to a few of them only.
+pub(super) fn greet(cx: &PublishedContext, targets: Vec<SocketAddr>) {
     let service = ractor::registry::where_is(cx.actor_name(NAME)).map(ActorRef::<PeersMessage>::from);
-    if let Some(Err(error)) = service.map(|service| service.cast(PeersMessage::Greet(others))) {
-        log::debug!("the service of other VMs is gone: {error}");
+    if let Some(Err(error)) = service.map(|service| service.cast(PeersMessage::Greet(targets))) {
+        log::debug!("the peer service has stopped: {error}");
     }
 }
 
@@ -94,13 +95,13 @@
 struct PeersState {
     cx: PublishedContext,
     socket: Arc<dyn Datagrams>,
-    questions: Arc<Mutex<StoreQueries>>,
+    queries: Arc<Mutex<StoreQueries>>,
     seq: u64,
-    /// Position in operators' records of which the others were told.
-    hinted: Option<u64>,
-    /// Whether the others were told that this VM reads in place of others.
+    /// Position in the operators' records that was last announced to the other VMs.
+    announced_position: Option<u64>,
+    /// Whether this VM has announced that it is a fallback reader.
     has_offered: bool,
-    sent: Option<(SystemTime, Vec<(EndpointId, Work)>)>,
+    last_report: Option<(SystemTime, Vec<(EndpointId, Work)>)>,
     _tasks: [AbortOnDropHandle<()>; 2],
 }
 
@@ -115,12 +116,21 @@
         arguments: Arguments,
     ) -> Result<PeersState, ActorProcessingErr> {
         let Arguments { cx, socket } = arguments;
-        let questions = Arc::new(Mutex::new(StoreQueries::default()));
+        let queries = Arc::new(Mutex::new(StoreQueries::default()));
         let tasks = [
-            send_periodically(myself, LOOK_EVERY, || PeersMessage::Look),
-            AbortOnDropHandle::new(tokio::spawn(receive(cx.clone(), socket.clone(), questions.clone()))),
+            send_periodically(myself, CHECK_INTERVAL, || PeersMessage::Check),
+            AbortOnDropHandle::new(tokio::spawn(receive(cx.clone(), socket.clone(), queries.clone()))),
         ];
-        Ok(PeersState { cx, socket, questions, seq: 0, hinted: None, has_offered: false, sent: None, _tasks: tasks })
+        Ok(PeersState {
+            cx,
+            socket,
+            queries,
+            seq: 0,
+            announced_position: None,
+            has_offered: false,
+            last_report: None,
+            _tasks: tasks,
+        })
     }
 
     async fn handle(
@@ -130,95 +140,96 @@
         state: &mut PeersState,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            PeersMessage::Look => state.look().await,
-            PeersMessage::Greet(others) => state.greet(&others).await,
+            PeersMessage::Check => state.check().await,
+            PeersMessage::Greet(targets) => state.greet(&targets).await,
         }
         Ok(())
     }
 }
 
 impl PeersState {
-    async fn look(&mut self) {
+    async fn check(&mut self) {
         let now = self.cx.shared.clock.now();
-        let work = own_work(&self.cx);
-        self.ask(now).await;
-        self.hint(now).await;
+        let work = own_work_in_progress(&self.cx);
+        self.send_query(now).await;
+        self.announce_position(now).await;
         if self.is_report_due(&work, now) {
-            let to = self.listeners(now);
+            let to = self.report_targets(now);
             self.report(work, &to, now).await;
         }
     }
 
-    /// Makes this VM known to others, and tells each of them who reads the store first, should they have started as well.
-    async fn greet(&mut self, others: &[SocketAddr]) {
+    /// Sends a greeting to each target. It names the first readers of the store, in case the target is starting too.
+    async fn greet(&mut self, targets: &[SocketAddr]) {
         let now = self.cx.shared.clock.now();
-        let work = own_work(&self.cx);
+        let work = own_work_in_progress(&self.cx);
         self.seq += 1;
         let report = encode_report(own_report(&self.cx, self.seq, &work));
-        let greetings = greetings(&self.cx, &report, others);
+        let greetings = greetings(&self.cx, &report, targets);
         for (greeting, to) in greetings {
             send(&*self.socket, &Datagram::Greeting(greeting), &[to]).await;
         }
-        self.sent = Some((now, work));
+        self.last_report = Some((now, work));
     }
 
-    /// The few others that hear a usual report.
-    fn listeners(&self, now: SystemTime) -> Vec<SocketAddr> {
+    /// Selects the few VMs that get the next report.
+    fn report_targets(&self, now: SystemTime) -> Vec<SocketAddr> {
         let mut peers = self.cx.shared.peers();
         peers.expire(now);
         peers.report_targets(&self.cx.shared.settings.vm.failure_domain, &mut *self.cx.shared.rng())
     }
 
-    /// Whether it is time for a report: soon where the work has changed or a new version has answered, now and then where
-    /// all is the same.
+    /// Whether a report is due: after the shortest interval if anything has changed, and otherwise after
+    /// [`REPORT_INTERVAL`].
     fn is_report_due(&self, work: &[(EndpointId, Work)], now: SystemTime) -> bool {
-        let Some((at, sent)) = &self.sent else { return true };
-        let pause = if self.cx.shared.peers().is_large() { LARGE_FLEET_PAUSE } else { REPORT_PAUSE };
-        let is_news = sent != work
+        let Some((at, sent)) = &self.last_report else { return true };
+        let min_interval = if self.cx.shared.peers().is_large() { LARGE_FLEET_INTERVAL } else { MIN_REPORT_INTERVAL };
+        let has_changes = sent != work
             || self.cx.shared.rollouts().has_unreported_evidence(self.cx.shared.incarnation, now)
             || self.cx.shared.quarantine().has_unreported()
             || self.cx.shared.send_limits().signals.has_unreported();
-        now >= *at + if is_news { pause } else { REPORT_EVERY }
+        now >= *at + if has_changes { min_interval } else { REPORT_INTERVAL }
     }
 
     async fn report(&mut self, work: Vec<(EndpointId, Work)>, to: &[SocketAddr], now: SystemTime) {
         self.seq += 1;
         let report = own_report(&self.cx, self.seq, &work);
         send(&*self.socket, &Datagram::Report(encode_report(report)), to).await;
-        self.sent = Some((now, work));
+        self.last_report = Some((now, work));
     }
 
-    /// Tells all others that operators wrote something, where this VM reads the store for them, or that it does so now.
-    async fn hint(&mut self, now: SystemTime) {
+    /// Announces new operators' records to all VMs if this VM reads the store for them, or that it has become a
+    /// fallback reader.
+    async fn announce_position(&mut self, now: SystemTime) {
         let position = self.cx.shared.store.view().operators_position;
         let is_offer = self.cx.shared.store.is_fallback_reader() && !self.has_offered;
         self.has_offered = self.cx.shared.store.is_fallback_reader();
-        if !is_offer && (position <= self.hinted || !self.cx.shared.store.is_reader()) {
+        if !is_offer && (position <= self.announced_position || !self.cx.shared.store.is_reader()) {
             return;
         }
-        self.hinted = position;
+        self.announced_position = position;
         let to: Vec<SocketAddr> = self.cx.shared.peers().all().map(|peer| peer.address).collect();
         if let Some(hint) = change_hint(&self.cx, now) {
             send(&*self.socket, &Datagram::Answer(hint), &to).await;
         }
     }
 
-    /// Asks a VM that reads the store, if it is time.
-    async fn ask(&self, now: SystemTime) {
-        let question = lock(&self.questions).next_query(&self.cx, now);
-        if let Some((question, to)) = question {
-            send(&*self.socket, &Datagram::Question(question), &[to]).await;
+    /// Sends a query to a VM that reads the store, if one is due.
+    async fn send_query(&self, now: SystemTime) {
+        let query = lock(&self.queries).next_query(&self.cx, now);
+        if let Some((query, to)) = query {
+            send(&*self.socket, &Datagram::Question(query), &[to]).await;
         }
     }
 }
 
-/// What each of some others is told at this VM's start.
-fn greetings(cx: &PublishedContext, report: &VmReport, others: &[SocketAddr]) -> Vec<(Greeting, SocketAddr)> {
+/// Builds the greetings of this VM to the given targets.
+fn greetings(cx: &PublishedContext, report: &VmReport, targets: &[SocketAddr]) -> Vec<(Greeting, SocketAddr)> {
     let me = cx.own_peer();
     let peers = cx.shared.peers();
     let vms: Vec<&Peer> = peers.all().chain([&me]).collect();
     let first = FirstReaders::select(&vms);
-    let greeted = vms.iter().filter(|peer| others.contains(&peer.address));
+    let greeted = vms.iter().filter(|peer| targets.contains(&peer.address));
     let greeting = |peer: &&&Peer| {
         let readers = first.in_domain(&peer.failure_domain).iter().map(SocketAddr::to_string).collect();
         (Greeting::new(report.clone(), first.contains(peer), readers), peer.address)
@@ -229,7 +240,7 @@
 async fn send(socket: &dyn Datagrams, datagram: &Datagram, to: &[SocketAddr]) {
     let bytes = match havengrade_rpc::encode(datagram) {
         Ok(bytes) => bytes,
-        Err(error) => return log::error!("datagram not written: {error}"),
+        Err(error) => return log::error!("datagram not encoded: {error}"),
     };
     for address in to {
         if let Err(error) = socket.send(&bytes, *address).await {
@@ -238,8 +249,8 @@
     }
 }
 
-/// Work of this VM in progress, the most first.
-fn own_work(cx: &PublishedContext) -> Vec<(EndpointId, Work)> {
+/// Returns this VM's work in progress by endpoint, largest first.
+fn own_work_in_progress(cx: &PublishedContext) -> Vec<(EndpointId, Work)> {
     let mut work = Vec::new();
     cx.shared.endpoint_states.for_each(|endpoint, slot| {
         let requests = slot.in_flight();
@@ -248,69 +259,69 @@
         }
     });
     work.sort_by(|a, b| b.1.tokens.cmp(&a.1.tokens).then_with(|| a.0.cmp(&b.0)));
-    work.truncate(MAX_ENDPOINTS);
+    work.truncate(MAX_REPORTED_ENDPOINTS);
     work
 }
 
-fn own_report(cx: &PublishedContext, seq: u64, work: &[(EndpointId, Work)]) -> Report {
+fn own_report(cx: &PublishedContext, seq: u64, work: &[(EndpointId, Work)]) -> PeerReport {
     let now = cx.shared.clock.now();
     let rollouts = cx.shared.rollouts().next_report(cx.shared.rollout_bounds(), cx.shared.incarnation, now);
     let quarantine = cx.shared.quarantine().next_report(now);
     let signals = cx.shared.send_limits().signals.next_report(now);
-    Report { work: WorkReport { peer: cx.own_peer(), seq, work: work.to_vec() }, rollouts, quarantine, signals }
+    PeerReport { work: WorkReport { peer: cx.own_peer(), seq, work: work.to_vec() }, rollouts, quarantine, signals }
 }
 
-/// Takes the other VMs' datagrams.
-async fn receive(cx: PublishedContext, socket: Arc<dyn Datagrams>, questions: Arc<Mutex<StoreQueries>>) {
-    let mut buf = vec![0; MAX_DATAGRAM];
+/// Receives and handles datagrams of other VMs.
+async fn receive(cx: PublishedContext, socket: Arc<dyn Datagrams>, queries: Arc<Mutex<StoreQueries>>) {
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let length = match socket.receive(&mut buf).await {
             Ok(length) => length,
             Err(error) => {
-                // The library reports earlier datagrams that found no receiver; the next ones are not affected.
+                // The socket reports that earlier datagrams found no receiver; later ones are not affected.
                 log::debug!("no datagram received: {error}");
                 continue;
             },
         };
         let now = cx.shared.clock.now();
         match havengrade_rpc::decode::<Datagram>(buf.get(..length).unwrap_or_default()) {
-            Ok(Datagram::Report(report)) => take_report(&cx, report, now),
-            Ok(Datagram::Greeting(greeting)) => take_greeting(&cx, greeting, now),
-            Ok(Datagram::Question(question)) => answer_question(&cx, &*socket, &question, now).await,
-            Ok(Datagram::Answer(answer)) => lock(&questions).apply_answer(&cx, answer),
-            Err(error) => log::warn!("a datagram can't be read and is passed over: {error}"),
+            Ok(Datagram::Report(report)) => apply_report(&cx, report, now),
+            Ok(Datagram::Greeting(greeting)) => apply_greeting(&cx, greeting, now),
+            Ok(Datagram::Question(query)) => handle_query(&cx, &*socket, &query, now).await,
+            Ok(Datagram::Answer(answer)) => lock(&queries).apply_answer(&cx, answer),
+            Err(error) => log::warn!("ignoring a malformed datagram: {error}"),
         }
     }
 }
 
-async fn answer_question(cx: &PublishedContext, socket: &dyn Datagrams, question: &StoreQuestion, now: SystemTime) {
-    let Ok(to) = question.address.parse::<SocketAddr>() else {
-        return log::warn!("a question names no address and is passed over");
+async fn handle_query(cx: &PublishedContext, socket: &dyn Datagrams, query: &StoreQuestion, now: SystemTime) {
+    let Ok(to) = query.address.parse::<SocketAddr>() else {
+        return log::warn!("ignoring a store query without a valid address");
     };
-    if let Some(answer) = answer_query(cx, question, now) {
+    if let Some(answer) = answer_query(cx, query, now) {
         send(socket, &Datagram::Answer(answer), &[to]).await;
     }
 }
 
-fn take_greeting(cx: &PublishedContext, greeting: Greeting, now: SystemTime) {
+fn apply_greeting(cx: &PublishedContext, greeting: Greeting, now: SystemTime) {
     if !cx.shared.knows_state() {
         let readers = greeting.readers.iter().filter_map(|reader| reader.parse().ok()).collect();
         cx.shared.store_reads().apply_greeting(greeting.reads_first, readers);
     }
-    take_report(cx, greeting.report, now);
+    apply_report(cx, greeting.report, now);
 }
 
-fn take_report(cx: &PublishedContext, report: VmReport, now: SystemTime) {
+fn apply_report(cx: &PublishedContext, report: VmReport, now: SystemTime) {
     let Some(report) = decode_report(report) else {
-        return log::warn!("a report names no address and is passed over");
+        return log::warn!("ignoring a report without a valid address");
     };
     let peer = &report.work.peer;
     if peer.vm == cx.shared.settings.vm.id {
         return;
     }
-    let learned = cx.shared.rollouts().merge_report(peer.incarnation, report.rollouts, now);
-    for learned in learned {
-        log_learned(&learned, peer);
+    let updates = cx.shared.rollouts().merge_report(peer.incarnation, report.rollouts, now);
+    for update in updates {
+        log_rollout_update(&update, peer);
     }
     let changes = cx.shared.quarantine().merge_report(report.quarantine, now);
     announce_changes(cx, &changes);
@@ -319,20 +330,23 @@
     cx.shared.notify_peer_known();
 }
 
-fn log_learned(learned: &RolloutUpdate, from: &Peer) {
-    match learned {
+fn log_rollout_update(update: &RolloutUpdate, from: &Peer) {
+    match update {
         RolloutUpdate::EarlierStart { status, age } => {
             let age_ms = age.as_millis() as u64;
-            log::info!(service = status.service.as_str(), age_ms, from = from.vm.as_str(); "a roll-out began earlier");
+            log::info!(
+                service = status.service.as_str(), age_ms, from = from.vm.as_str();
+                "earlier start of a roll-out reported"
+            );
         },
         RolloutUpdate::State(status) => {
             let line = format!("{} to {}: {:?}", status.service, status.version, status.outcome);
-            log::info!(state = line.as_str(), from = from.vm.as_str(); "state of a roll-out learned");
+            log::info!(state = line.as_str(), from = from.vm.as_str(); "roll-out status reported");
         },
-        RolloutUpdate::Halt(told) => log::warn!(
-            service = told.service.as_str(),
-            version = told.version.as_str(),
-            reason = told.reason.description(),
+        RolloutUpdate::Halt(halt) => log::warn!(
+            service = halt.service.as_str(),
+            version = halt.version.as_str(),
+            reason = halt.reason.description(),
             from = from.vm.as_str();
             "a version gets no more requests"
         ),
--- a/havengrade_router/src/published/wire.rs
+++ b/havengrade_router/src/published/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams between VMs, turned into the router's types and back.
+//! Conversion between the datagrams that VMs exchange and the router's types.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -27,30 +27,30 @@
 const SUCCEEDED: &str = "succeeded";
 const ROLLED_BACK: &str = "rolled_back";
 const WORSE: &str = "worse";
-const TURNED: &str = "turned";
-const AFTER_SUCCESS: &str = "after_success";
+const DEGRADED: &str = "turned";
+const FAILED_AFTER_SUCCESS: &str = "after_success";
 
-/// What a VM says of itself.
+/// Contents of a VM's report to its peers.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Report {
-    /// Its work in progress.
+pub(super) struct PeerReport {
+    /// Work in progress.
     pub(super) work: WorkReport,
-    /// What it tells of roll-outs.
+    /// Evidence on roll-outs, and their statuses.
     pub(super) rollouts: RolloutReport,
-    /// What it tells of requests that crash endpoints.
+    /// Crashes of endpoints, and quarantined requests.
     pub(super) quarantine: QuarantineReport,
-    /// What endpoints said of themselves.
+    /// Signals of endpoints.
     pub(super) signals: Vec<ReportedSignal>,
 }
 
-pub(super) fn encode_report(report: Report) -> VmReport {
+pub(super) fn encode_report(report: PeerReport) -> VmReport {
     let WorkReport { peer, seq, work } = report.work;
     let work = work
         .into_iter()
         .map(|(endpoint, work)| EndpointWork::new(endpoint, to_i32(work.requests), to_i32(work.tokens)));
     let RolloutReport { evidence, states, halts, recent, sessions } = report.rollouts;
     let evidence: Vec<_> = evidence.into_iter().map(encode_evidence).collect();
-    let rollouts: Vec<_> = states.into_iter().map(|told| encode_rollout(told, Vec::new())).collect();
+    let rollouts: Vec<_> = states.into_iter().map(|rollout| encode_rollout(rollout, Vec::new())).collect();
     let halts: Vec<_> = halts.into_iter().map(encode_halt).collect();
     let recent: Vec<_> = recent.into_iter().map(encode_recent).collect();
     let sessions: Vec<_> = sessions.into_iter().map(encode_session).collect();
@@ -71,8 +71,8 @@
     )
 }
 
-/// Reads a report; none where it names no address.
-pub(super) fn decode_report(report: VmReport) -> Option<Report> {
+/// Decodes a report. Returns `None` if it has no valid address.
+pub(super) fn decode_report(report: VmReport) -> Option<PeerReport> {
     let address: SocketAddr = report.address.parse().ok()?;
     let work = report.work.into_iter().map(|entry| {
         let work = Work { requests: from_i32(entry.requests), tokens: from_i32(entry.tokens) };
@@ -92,7 +92,7 @@
     };
     let failure_domain = report.failure_domain.unwrap_or_default();
     let peer = Peer { vm: report.vm, incarnation: from_i64(report.incarnation), address, failure_domain };
-    Some(Report {
+    Some(PeerReport {
         work: WorkReport { peer, seq: from_i64(report.seq), work: work.collect::<Vec<(EndpointId, Work)>>() },
         rollouts,
         quarantine: report.quarantine.map(decode_quarantine).unwrap_or_default(),
@@ -100,18 +100,19 @@
     })
 }
 
-/// Writes a session; its mark is 64 bits without a meaning of their own, so it passes through the schema's signed integers.
-fn encode_session(kept: SessionAffinity) -> WireSession {
-    let used_ms = to_i64(kept.used_ago.as_millis() as u64);
-    WireSession::new(kept.session.cast_signed(), kept.version, used_ms)
+/// Encodes the affinity of a session. The session's fingerprint is 64 opaque bits, which the schema carries as a signed
+/// integer.
+fn encode_session(affinity: SessionAffinity) -> WireSession {
+    let used_ms = to_i64(affinity.used_ago.as_millis() as u64);
+    WireSession::new(affinity.session.cast_signed(), affinity.version, used_ms)
 }
 
-fn decode_session(kept: WireSession) -> SessionAffinity {
-    let used_ago = Duration::from_millis(from_i64(kept.used_ms));
-    SessionAffinity { session: kept.session.cast_unsigned(), version: kept.version, used_ago }
+fn decode_session(session: WireSession) -> SessionAffinity {
+    let used_ago = Duration::from_millis(from_i64(session.used_ms));
+    SessionAffinity { session: session.session.cast_unsigned(), version: session.version, used_ago }
 }
 
-pub(super) fn encode_signals(told: Vec<ReportedSignal>) -> Vec<EndpointSignal> {
+pub(super) fn encode_signals(signals: Vec<ReportedSignal>) -> Vec<EndpointSignal> {
     let millis = |time: Duration| to_i64(time.as_millis() as u64);
     let encode = |ReportedSignal { endpoint, start, limit, shutting_down_for }| {
         EndpointSignal::new(
@@ -123,7 +124,7 @@
             limit.map(|limit| limit.round.cast_signed()),
         )
     };
-    told.into_iter().map(encode).collect()
+    signals.into_iter().map(encode).collect()
 }
 
 pub(super) fn decode_signals(signals: Vec<EndpointSignal>) -> Vec<ReportedSignal> {
@@ -141,78 +142,77 @@
     signals.into_iter().map(decode).collect()
 }
 
-/// Writes what is known of requests that crash endpoints; a mark is 64 bits without a meaning of their own, so it passes through the
-/// schema's signed integers.
-pub(crate) fn encode_quarantine(news: QuarantineReport) -> WireQuarantine {
+/// Encodes a quarantine report. A fingerprint is 64 opaque bits, which the schema carries as a signed integer.
+pub(crate) fn encode_quarantine(report: QuarantineReport) -> WireQuarantine {
     let millis = |time: Duration| to_i64(time.as_millis() as u64);
-    let QuarantineReport { crashes, held, answered } = news;
+    let QuarantineReport { crashes, held, answered } = report;
     WireQuarantine::new(
         crashes
             .into_iter()
-            .map(|told| {
-                let (mark, version) = (told.fingerprint.cast_signed(), told.version.cast_signed());
-                EndpointCrash::new(mark, told.endpoint, version, millis(told.ran_for), millis(told.age))
+            .map(|crash| {
+                let (fingerprint, version) = (crash.fingerprint.cast_signed(), crash.version.cast_signed());
+                EndpointCrash::new(fingerprint, crash.endpoint, version, millis(crash.ran_for), millis(crash.age))
             })
             .collect::<Vec<_>>(),
-        held.iter().map(encode_hold).collect::<Vec<_>>(),
+        held.iter().map(encode_quarantine_entry).collect::<Vec<_>>(),
         answered
             .into_iter()
-            .map(|told| {
-                AnsweredRequest::new(told.fingerprint.cast_signed(), told.version.cast_signed(), millis(told.age))
+            .map(|answer| {
+                AnsweredRequest::new(answer.fingerprint.cast_signed(), answer.version.cast_signed(), millis(answer.age))
             })
             .collect::<Vec<_>>(),
     )
 }
 
-fn encode_hold(told: &ReportedQuarantineEntry) -> HeldRequest {
+fn encode_quarantine_entry(entry: &ReportedQuarantineEntry) -> HeldRequest {
     let millis = |time: Duration| to_i64(time.as_millis() as u64);
     let ReportedQuarantineEntry {
-        fingerprint: mark,
+        fingerprint,
         version,
-        first_crash_age: age,
-        quarantined_for: held_for,
-        remaining: left,
+        first_crash_age,
+        quarantined_for,
+        remaining,
         trials,
-        last_trial_age: tried_ago,
-        is_stored: is_kept,
-    } = *told;
+        last_trial_age,
+        is_stored,
+    } = *entry;
     let trials = i32::try_from(trials).unwrap_or(i32::MAX);
     HeldRequest::new(
-        mark.cast_signed(),
-        millis(age),
-        millis(held_for),
-        millis(left),
+        fingerprint.cast_signed(),
+        millis(first_crash_age),
+        millis(quarantined_for),
+        millis(remaining),
         trials,
-        is_kept,
+        is_stored,
         version.cast_signed(),
-        tried_ago.map(millis),
+        last_trial_age.map(millis),
     )
 }
 
-pub(crate) fn decode_quarantine(news: WireQuarantine) -> QuarantineReport {
+pub(crate) fn decode_quarantine(report: WireQuarantine) -> QuarantineReport {
     let time = |millis: i64| Duration::from_millis(from_i64(millis));
-    let crashes = news.crashes.into_iter().map(|told| ReportedCrash {
-        fingerprint: told.mark.cast_unsigned(),
-        endpoint: told.endpoint,
-        version: told.version.cast_unsigned(),
-        ran_for: time(told.ran_ms),
-        age: time(told.age_ms),
+    let crashes = report.crashes.into_iter().map(|crash| ReportedCrash {
+        fingerprint: crash.mark.cast_unsigned(),
+        endpoint: crash.endpoint,
+        version: crash.version.cast_unsigned(),
+        ran_for: time(crash.ran_ms),
+        age: time(crash.age_ms),
     });
-    let held = news.held.into_iter().map(|told| ReportedQuarantineEntry {
-        fingerprint: told.mark.cast_unsigned(),
-        version: told.version.cast_unsigned(),
-        first_crash_age: time(told.age_ms),
-        quarantined_for: time(told.held_ms),
-        remaining: time(told.left_ms),
-        trials: from_i32(told.trials) as usize,
-        last_trial_age: told.tried_ms.map(time),
-        is_stored: told.is_kept,
+    let held = report.held.into_iter().map(|entry| ReportedQuarantineEntry {
+        fingerprint: entry.mark.cast_unsigned(),
+        version: entry.version.cast_unsigned(),
+        first_crash_age: time(entry.age_ms),
+        quarantined_for: time(entry.held_ms),
+        remaining: time(entry.left_ms),
+        trials: from_i32(entry.trials) as usize,
+        last_trial_age: entry.tried_ms.map(time),
+        is_stored: entry.is_kept,
     });
-    let answered = news.answered.into_iter();
-    let answered = answered.map(|told| ReportedAnswer {
-        fingerprint: told.mark.cast_unsigned(),
-        version: told.version.cast_unsigned(),
-        age: time(told.age_ms),
+    let answered = report.answered.into_iter();
+    let answered = answered.map(|answer| ReportedAnswer {
+        fingerprint: answer.mark.cast_unsigned(),
+        version: answer.version.cast_unsigned(),
+        age: time(answer.age_ms),
     });
     QuarantineReport { crashes: crashes.collect(), held: held.collect(), answered: answered.collect() }
 }
@@ -259,64 +259,69 @@
     TimeHistogram::from_buckets(pairs)
 }
 
-fn encode_halt(told: ReportedHalt) -> RolloutHalt {
-    let reason = match told.reason {
+fn encode_halt(halt: ReportedHalt) -> RolloutHalt {
+    let reason = match halt.reason {
         HaltReason::Worse => WORSE,
-        HaltReason::Degraded => TURNED,
-        HaltReason::FailedAfterSuccess => AFTER_SUCCESS,
+        HaltReason::Degraded => DEGRADED,
+        HaltReason::FailedAfterSuccess => FAILED_AFTER_SUCCESS,
     };
-    RolloutHalt::new(told.service, told.version, reason.to_owned())
+    RolloutHalt::new(halt.service, halt.version, reason.to_owned())
 }
 
 fn decode_halt(halt: RolloutHalt) -> Option<ReportedHalt> {
     let reason = match halt.reason.as_str() {
         WORSE => HaltReason::Worse,
-        TURNED => HaltReason::Degraded,
-        AFTER_SUCCESS => HaltReason::FailedAfterSuccess,
+        DEGRADED => HaltReason::Degraded,
+        FAILED_AFTER_SUCCESS => HaltReason::FailedAfterSuccess,
         other => {
-            log::warn!("a report names the reason {other:?} of a halt, which is not known here");
+            log::warn!("ignoring a halt with the unknown reason {other:?}");
             return None;
         },
     };
     Some(ReportedHalt { service: halt.service_name, version: halt.version, reason })
 }
 
-fn encode_recent(told: ReportedAnswerCounts) -> RecentAnswers {
+fn encode_recent(reported: ReportedAnswerCounts) -> RecentAnswers {
     let count = |count: u64| i32::try_from(count).unwrap_or(i32::MAX);
-    let RecentAnswerCounts { by_endpoint: endpoints, unattributed: rest } = told.counts;
-    let endpoints = endpoints
+    let RecentAnswerCounts { by_endpoint, unattributed } = reported.counts;
+    let by_endpoint = by_endpoint
         .into_iter()
-        .map(|(endpoint, seen)| EndpointAnswers::new(endpoint, count(seen.answers), count(seen.errors)));
-    RecentAnswers::new(told.service, endpoints.collect::<Vec<_>>(), count(rest.answers), count(rest.errors))
+        .map(|(endpoint, counts)| EndpointAnswers::new(endpoint, count(counts.answers), count(counts.errors)));
+    RecentAnswers::new(
+        reported.service,
+        by_endpoint.collect::<Vec<_>>(),
+        count(unattributed.answers),
+        count(unattributed.errors),
+    )
 }
 
 fn decode_recent(recent: RecentAnswers) -> ReportedAnswerCounts {
-    let seen = |answers, errors| AnswerCounts { answers: from_i32(answers).into(), errors: from_i32(errors).into() };
-    let endpoints = recent.endpoints.into_iter().map(|entry| (entry.endpoint, seen(entry.answers, entry.errors)));
-    let rest = seen(recent.rest_answers, recent.rest_errors);
+    let counts = |answers, errors| AnswerCounts { answers: from_i32(answers).into(), errors: from_i32(errors).into() };
+    let by_endpoint = recent.endpoints.into_iter().map(|entry| (entry.endpoint, counts(entry.answers, entry.errors)));
+    let unattributed = counts(recent.rest_answers, recent.rest_errors);
     ReportedAnswerCounts {
         service: recent.service_name,
-        counts: RecentAnswerCounts { by_endpoint: endpoints.collect(), unattributed: rest },
+        counts: RecentAnswerCounts { by_endpoint: by_endpoint.collect(), unattributed },
     }
 }
 
-/// Writes how a roll-out stands, and what is known of the version before.
-pub(super) fn encode_rollout(told: ReportedRollout, usual: Vec<RouteEvidence>) -> RolloutState {
-    let ReportedRollout { status, age } = told;
+/// Encodes the status of a roll-out and its baseline.
+pub(super) fn encode_rollout(rollout: ReportedRollout, baseline: Vec<RouteEvidence>) -> RolloutState {
+    let ReportedRollout { status, age } = rollout;
     let age_ms = age.map(|age| to_i64(age.as_millis() as u64));
-    let usual: Vec<_> = usual.into_iter().map(encode_evidence).collect();
-    let usual = (!usual.is_empty()).then_some(usual);
-    RolloutState::new(status.service, status.version, outcome_name(status.outcome).to_owned(), age_ms, usual)
+    let baseline: Vec<_> = baseline.into_iter().map(encode_evidence).collect();
+    let baseline = (!baseline.is_empty()).then_some(baseline);
+    RolloutState::new(status.service, status.version, outcome_name(status.outcome).to_owned(), age_ms, baseline)
 }
 
-/// Reads what is known of the version before a roll-out.
+/// Decodes the baseline of a roll-out.
 pub(super) fn decode_baseline(state: &RolloutState) -> Vec<RouteEvidence> {
     state.usual.iter().flatten().cloned().map(decode_evidence).collect()
 }
 
-/// Reads how a roll-out stands; none where its state is not known here.
+/// Decodes the status of a roll-out. Returns `None` if its outcome is unknown to this build.
 pub(super) fn decode_rollout(state: RolloutState) -> Option<ReportedRollout> {
-    let outcome = outcome_of(&state.outcome)?;
+    let outcome = parse_outcome(&state.outcome)?;
     let status = RolloutStatus { service: state.service_name, version: state.version, outcome };
     Some(ReportedRollout { status, age: state.age_ms.map(|age| Duration::from_millis(from_i64(age))) })
 }
@@ -329,19 +334,19 @@
     }
 }
 
-fn outcome_of(name: &str) -> Option<RolloutOutcome> {
+fn parse_outcome(name: &str) -> Option<RolloutOutcome> {
     match name {
         RUNNING => Some(RolloutOutcome::Running),
         SUCCEEDED => Some(RolloutOutcome::Succeeded),
         ROLLED_BACK => Some(RolloutOutcome::RolledBack),
         _ => {
-            log::warn!("a report names the state {name:?} of a roll-out, which is not known here");
+            log::warn!("ignoring a roll-out with the unknown outcome {name:?}");
             None
         },
     }
 }
 
-/// Writes a change of the list of endpoints; a whole list is none.
+/// Encodes a change of the endpoint list. Returns `None` for a complete list.
 pub(super) fn encode_change(event: DirectoryEvent) -> Option<EndpointChange> {
     match event {
         DirectoryEvent::Seen(endpoint) => {
@@ -362,7 +367,7 @@
     }
 }
 
-/// Reads a change of the list of endpoints; none where its address can't be read.
+/// Decodes a change of the endpoint list. Returns `None` if its address is malformed.
 pub(super) fn decode_change(change: EndpointChange) -> Option<DirectoryEvent> {
     let Some(entry) = change.entry else {
         return Some(DirectoryEvent::Gone(change.endpoint));
@@ -388,7 +393,7 @@
     i64::try_from(value).unwrap_or(i64::MAX)
 }
 
-/// A count that another VM wrote; a negative one is none.
+/// Converts a count from another VM; a negative one becomes 0.
 pub(super) fn from_i64(value: i64) -> u64 {
     u64::try_from(value).unwrap_or_default()
 }
