--- a/havengrade_router/src/services/config.rs
+++ b/havengrade_router/src/services/config.rs
@@ -1,4 +1,4 @@
-//! The service that replays the configuration stream and publishes what is in force.
+//! The service that replays the configuration stream and publishes the active configuration.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -22,71 +22,73 @@
 /// Name of the service.
 pub const NAME: &str = "config";
 
-/// Records that are kept for peers who are behind.
-const KEPT_RECORDS: usize = 4096;
-/// Records that are read at once.
-const READ_RECORDS: usize = 512;
-/// Time between two tries to reach the log service.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Maximum number of records that are cached for peers that are behind.
+const MAX_CACHED_RECORDS: usize = 4096;
+/// Maximum number of records per read of the stream.
+const MAX_READ_RECORDS: usize = 512;
+/// Delay before a failed call to the log service is retried.
+const LOG_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What the service is told and asked.
+/// Messages to the service.
 pub enum ConfigMessage {
-    /// A part of the stream; answered once it is replayed.
+    /// Replay a slice of the stream that was read from the log.
     Replay {
-        /// The part.
+        /// The slice.
         slice: LogSlice,
-        /// When it was asked for.
-        asked: SystemTime,
-        /// Is told that the part is replayed.
+        /// Time at which the read was requested.
+        requested_at: SystemTime,
+        /// Answered once the slice is replayed.
         reply: RpcReplyPort<()>,
     },
-    /// Records that a peer knows.
+    /// Replay records, or a snapshot, that a peer sent.
     ReplayFromPeer {
-        /// The records, in order.
+        /// The records, in offset order.
         records: Vec<LogRecord>,
-        /// The whole configuration of a peer that keeps no older records.
+        /// The whole configuration, from a peer that no longer caches the records.
         snapshot: Option<Box<Config>>,
     },
-    /// Append a change and tell what became of it.
+    /// Append a change and report its outcome.
     Propose {
         /// The change.
         record: ChangeRecord,
-        /// Is told the outcome; dropped if none is known in time.
+        /// Receives the outcome; dropped if there is none in time.
         reply: RpcReplyPort<ChangeOutcome>,
     },
-    /// Records for a peer that is behind.
+    /// Fetch records for a peer that is behind.
     Fetch {
-        /// Offset of the first.
+        /// Offset of the first record.
         from: Offset,
-        /// Most records.
+        /// Maximum number of records.
         limit: usize,
-        /// Is given the records.
+        /// Receives the records.
         reply: RpcReplyPort<FetchedRecords>,
     },
 }
 
-/// What a peer that is behind is given.
+/// Records, or a snapshot, for a peer that is behind.
 pub struct FetchedRecords {
-    /// The records, in order and without a gap.
+    /// The records, in offset order and without a gap.
     pub records: Vec<LogRecord>,
-    /// Offset after the newest record that is known here.
+    /// Offset after the newest record that this VM has replayed.
     pub next: Offset,
-    /// The whole configuration, where the records don't reach back far enough.
+    /// The whole configuration, if the cached records don't reach back far enough.
     pub snapshot: Option<Box<Config>>,
 }
 
-/// The actor of the service.
+/// Actor of the service.
 pub(crate) struct ConfigActor;
 
 /// State of the service.
 pub(crate) struct ConfigState {
     cx: Context,
     config: Config,
-    kept: VecDeque<LogRecord>,
-    waiting: HashMap<ChangeId, Vec<RpcReplyPort<ChangeOutcome>>>,
-    since_snapshot: u64,
-    appends: Vec<AbortOnDropHandle<()>>,
-    _tail: AbortOnDropHandle<()>,
+    /// The newest records without a gap, cached for peers that are behind.
+    recent_records: VecDeque<LogRecord>,
+    outcome_waiters: HashMap<ChangeId, Vec<RpcReplyPort<ChangeOutcome>>>,
+    /// Number of changes replayed since the last snapshot.
+    changes_since_snapshot: u64,
+    append_tasks: Vec<AbortOnDropHandle<()>>,
+    _reader: AbortOnDropHandle<()>,
 }
 
 impl Actor for ConfigActor {
@@ -95,15 +97,15 @@
     type Arguments = Context;
 
     async fn pre_start(&self, myself: ActorRef<Self::Msg>, cx: Context) -> Result<ConfigState, ActorProcessingErr> {
-        let tail = tokio::spawn(tail(cx.clone(), myself));
+        let reader = tokio::spawn(read_stream(cx.clone(), myself));
         Ok(ConfigState {
             cx,
             config: Config::default(),
-            kept: VecDeque::new(),
-            waiting: HashMap::new(),
-            since_snapshot: 0,
-            appends: Vec::new(),
-            _tail: AbortOnDropHandle::new(tail),
+            recent_records: VecDeque::new(),
+            outcome_waiters: HashMap::new(),
+            changes_since_snapshot: 0,
+            append_tasks: Vec::new(),
+            _reader: AbortOnDropHandle::new(reader),
         })
     }
 
@@ -114,11 +116,11 @@
         state: &mut ConfigState,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            ConfigMessage::Replay { slice, asked, reply } => {
-                state.read(&slice, asked);
+            ConfigMessage::Replay { slice, requested_at, reply } => {
+                state.replay_slice(&slice, requested_at);
                 let _ = reply.send(());
             },
-            ConfigMessage::ReplayFromPeer { records, snapshot } => state.relayed(&records, snapshot),
+            ConfigMessage::ReplayFromPeer { records, snapshot } => state.replay_from_peer(&records, snapshot),
             ConfigMessage::Propose { record, reply } => state.propose(record, reply),
             ConfigMessage::Fetch { from, limit, reply } => {
                 let _ = reply.send(state.fetch(from, limit));
@@ -128,65 +130,65 @@
     }
 }
 
-/// Reads the stream from where the replay stands, again and again.
-async fn tail(cx: Context, service: ActorRef<ConfigMessage>) {
+/// Reads the stream from the next offset to replay, in a loop.
+async fn read_stream(cx: Context, service: ActorRef<ConfigMessage>) {
     let wait = Duration::from_millis(cx.shared.settings.log_service.read_wait_ms);
     loop {
-        let asked = cx.shared.clock.now();
+        let requested_at = cx.shared.clock.now();
         let from = cx.shared.config_next();
-        match cx.log.read(Stream::Config, from, READ_RECORDS, wait).await {
+        match cx.log.read(Stream::Config, from, MAX_READ_RECORDS, wait).await {
             Ok(slice) => {
                 cx.shared.set_log_reachable(true);
-                let replayed = service.call(|reply| ConfigMessage::Replay { slice, asked, reply }, None).await;
+                let replayed = service.call(|reply| ConfigMessage::Replay { slice, requested_at, reply }, None).await;
                 if replayed.is_err() {
                     return;
                 }
             },
             Err(error) => {
                 cx.shared.set_log_reachable(false);
-                log::debug!(service = NAME; "{error}");
-                sleep(RETRY_PAUSE).await;
+                log::debug!(service = NAME; "failed to read the configuration stream: {error}");
+                sleep(LOG_RETRY_DELAY).await;
             },
         }
     }
 }
 
 impl ConfigState {
-    fn read(&mut self, slice: &LogSlice, asked: SystemTime) {
-        self.replay_all(&slice.records, slice.first);
-        let newest = slice.next;
-        if self.config.next_offset >= newest {
-            self.cx.shared.confirm(asked);
+    fn replay_slice(&mut self, slice: &LogSlice, requested_at: SystemTime) {
+        self.replay_records(&slice.records, slice.first);
+        let log_end = slice.next;
+        if self.config.next_offset >= log_end {
+            self.cx.shared.confirm(requested_at);
         }
     }
 
-    fn relayed(&mut self, records: &[LogRecord], snapshot: Option<Box<Config>>) {
+    fn replay_from_peer(&mut self, records: &[LogRecord], snapshot: Option<Box<Config>>) {
         if let Some(snapshot) = snapshot {
             self.replay(snapshot.next_offset, &ConfigRecord::Snapshot(snapshot));
             self.publish();
         }
-        self.replay_all(records, 0);
+        self.replay_records(records, 0);
     }
 
-    /// Replays records that follow what is known; `first` is the oldest offset that the log keeps.
-    fn replay_all(&mut self, records: &[LogRecord], first: Offset) {
+    /// Replays records; `first` is the oldest offset that the log retains.
+    fn replay_records(&mut self, records: &[LogRecord], first: Offset) {
         let mut has_changed = false;
         for record in records {
-            let is_gap = record.offset > self.config.next_offset;
+            let leaves_gap = record.offset > self.config.next_offset;
             let parsed: Result<ConfigRecord, _> = serde_json::from_str(&record.data);
             match parsed {
-                // Only a snapshot leads over records that the log no longer keeps.
-                Ok(ConfigRecord::Change(_)) if is_gap && first > self.config.next_offset => continue,
-                Ok(_) if is_gap && first <= self.config.next_offset => break,
+                // Only a snapshot can replace records that the log no longer retains.
+                Ok(ConfigRecord::Change(_)) if leaves_gap && first > self.config.next_offset => continue,
+                Ok(_) if leaves_gap && first <= self.config.next_offset => break,
                 Ok(parsed) => has_changed |= self.replay(record.offset, &parsed),
                 Err(error) => {
-                    log::error!(service = NAME, offset = record.offset; "record can't be read, passed over: {error}");
-                    if !is_gap {
+                    log::error!(service = NAME, offset = record.offset; "skipping a malformed record: {error}");
+                    if !leaves_gap {
                         self.config.next_offset = self.config.next_offset.max(record.offset + 1);
                     }
                 },
             }
-            self.keep(record);
+            self.cache_record(record);
         }
         if has_changed {
             self.publish();
@@ -195,48 +197,49 @@
     }
 
     fn replay(&mut self, offset: Offset, record: &ConfigRecord) -> bool {
-        let effect = self.config.replay(offset, record);
-        match (&effect, record) {
+        let outcome = self.config.replay(offset, record);
+        match (&outcome, record) {
             (ReplayOutcome::Effective, ConfigRecord::Change(change)) => {
                 let (change_id, author, reason) = (&change.change_id, &change.author, &change.reason);
-                log::info!(service = NAME, offset, change_id, author, reason; "change in force");
+                log::info!(service = NAME, offset, change_id, author, reason; "configuration change applied");
             },
-            (ReplayOutcome::Void(why), ConfigRecord::Change(change)) => {
+            (ReplayOutcome::Void(reason), ConfigRecord::Change(change)) => {
                 let change_id = &change.change_id;
-                log::warn!(service = NAME, offset, change_id; "change is void: {why}");
+                log::warn!(service = NAME, offset, change_id; "configuration change rejected: {reason}");
             },
             _ => {},
         }
         if let ConfigRecord::Change(change) = record {
-            self.since_snapshot += 1;
-            self.answer(&change.change_id);
+            self.changes_since_snapshot += 1;
+            self.answer_waiters(&change.change_id);
         } else {
-            self.since_snapshot = 0;
+            self.changes_since_snapshot = 0;
         }
-        self.write_snapshot();
-        matches!(effect, ReplayOutcome::Effective | ReplayOutcome::Restored)
+        self.append_due_snapshot();
+        matches!(outcome, ReplayOutcome::Effective | ReplayOutcome::Restored)
     }
 
-    /// Tells those who wait for a change what became of it.
-    fn answer(&mut self, change_id: &str) {
+    /// Sends the outcome of a change to the callers that wait for it.
+    fn answer_waiters(&mut self, change_id: &str) {
         let Some(outcome) = self.config.change_outcome(change_id).cloned() else { return };
-        for reply in self.waiting.remove(change_id).unwrap_or_default() {
+        for reply in self.outcome_waiters.remove(change_id).unwrap_or_default() {
             let _ = reply.send(outcome.clone());
         }
     }
 
-    fn keep(&mut self, record: &LogRecord) {
-        let follows = self.kept.back().is_none_or(|last| last.offset + 1 == record.offset);
-        let is_known = self.kept.back().is_some_and(|last| last.offset >= record.offset);
-        if is_known {
+    /// Adds a record to the cache, which restarts at a record that leaves a gap.
+    fn cache_record(&mut self, record: &LogRecord) {
+        let is_contiguous = self.recent_records.back().is_none_or(|last| last.offset + 1 == record.offset);
+        let is_cached = self.recent_records.back().is_some_and(|last| last.offset >= record.offset);
+        if is_cached {
             return;
         }
-        if !follows {
-            self.kept.clear();
+        if !is_contiguous {
+            self.recent_records.clear();
         }
-        self.kept.push_back(record.clone());
-        if self.kept.len() > KEPT_RECORDS {
-            self.kept.pop_front();
+        self.recent_records.push_back(record.clone());
+        if self.recent_records.len() > MAX_CACHED_RECORDS {
+            self.recent_records.pop_front();
         }
     }
 
@@ -254,48 +257,51 @@
             let _ = reply.send(outcome.clone());
             return;
         }
-        self.waiting.entry(record.change_id.clone()).or_default().push(reply);
+        self.outcome_waiters.entry(record.change_id.clone()).or_default().push(reply);
         self.append(&ConfigRecord::Change(record));
     }
 
-    /// Appends a record; a lost answer does no harm, since the record is read back or tried again.
+    /// Appends a record in the background.
+    ///
+    /// A lost answer does no harm: the record is read back from the stream, or its append is retried, and a
+    /// repeated change has no effect.
     fn append(&mut self, record: &ConfigRecord) {
-        /// Tries before the operator has to ask again.
-        const TRIES: u32 = 3;
+        /// Number of attempts before the operator has to repeat the call.
+        const MAX_ATTEMPTS: u32 = 3;
         let Ok(data) = serde_json::to_string(record) else { return };
         let log = self.cx.log.clone();
         let task = tokio::spawn(async move {
-            for _ in 0..TRIES {
+            for _ in 0..MAX_ATTEMPTS {
                 if log.append(Stream::Config, data.clone()).await.is_ok() {
                     return;
                 }
-                sleep(RETRY_PAUSE).await;
+                sleep(LOG_RETRY_DELAY).await;
             }
         });
-        self.appends.retain(|task| !task.is_finished());
-        self.appends.push(AbortOnDropHandle::new(task));
+        self.append_tasks.retain(|task| !task.is_finished());
+        self.append_tasks.push(AbortOnDropHandle::new(task));
     }
 
     fn fetch(&self, from: Offset, limit: usize) -> FetchedRecords {
         let next = self.config.next_offset;
-        let oldest = self.kept.front().map_or(next, |record| record.offset);
+        let oldest = self.recent_records.front().map_or(next, |record| record.offset);
         let snapshot = (from < oldest && from < next).then(|| Box::new(self.config.clone()));
         let records = match snapshot {
             Some(_) => Vec::new(),
-            None => self.kept.iter().filter(|record| record.offset >= from).take(limit).cloned().collect(),
+            None => self.recent_records.iter().filter(|record| record.offset >= from).take(limit).cloned().collect(),
         };
         FetchedRecords { records, next, snapshot }
     }
 
-    /// Writes a snapshot once enough records have come since the last one.
+    /// Appends a snapshot once enough changes have been replayed since the last one.
     ///
-    /// Each VM waits for a different number of records, so that one of them writes it as a rule; a
-    /// second one has the same content and does no harm.
-    fn write_snapshot(&mut self) {
-        let every = self.cx.shared.settings.log_service.snapshot_every;
-        let own_turn = every + self.cx.shared.incarnation % every.max(2) / 2;
-        if self.since_snapshot >= own_turn {
-            self.since_snapshot = 0;
+    /// The number of changes differs between VMs, so that usually only one of them writes the snapshot. A second
+    /// snapshot has the same content and does no harm.
+    fn append_due_snapshot(&mut self) {
+        let interval = self.cx.shared.settings.log_service.snapshot_every;
+        let own_interval = interval + self.cx.shared.incarnation % interval.max(2) / 2;
+        if self.changes_since_snapshot >= own_interval {
+            self.changes_since_snapshot = 0;
             let snapshot = ConfigRecord::Snapshot(Box::new(self.config.clone()));
             self.append(&snapshot);
         }
--- a/havengrade_router/src/services/mod.rs
+++ b/havengrade_router/src/services/mod.rs
@@ -1,4 +1,4 @@
-//! The services of the control thread.
+//! Services of the control thread, each an actor that is looked up by its name.
 
 pub mod bills;
 pub mod config;
@@ -16,17 +16,17 @@
 use tokio::time::{MissedTickBehavior, interval};
 use tokio_util::task::AbortOnDropHandle;
 
-/// Time for which nothing is accepted after an error of the listener.
+/// Delay before a listener accepts again after an error.
 pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Sends a message to a service again and again, until the service is gone.
+/// Sends a message to a service at a fixed interval until the service stops or the handle is dropped.
 pub(crate) fn send_periodically<M: Message>(
     service: ActorRef<M>,
-    every: Duration,
+    period: Duration,
     message: impl Fn() -> M + Send + 'static,
 ) -> AbortOnDropHandle<()> {
     AbortOnDropHandle::new(tokio::spawn(async move {
-        let mut ticks = interval(every);
+        let mut ticks = interval(period);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
