--- a/havengrade_router/src/services/bills.rs
+++ b/havengrade_router/src/services/bills.rs
@@ -21,29 +21,29 @@
 /// Name of the service.
 pub const NAME: &str = "bills";
 
-/// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval at which overdue bills are replicated to peers.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the service is told and asked.
+/// Messages to the service.
 pub enum BillsMessage {
     /// Append a bill.
     Submit {
         /// The bill.
         record: Box<LedgerRecord>,
-        /// Is told once the bill is safe; none for bills that nobody waits for.
+        /// Receives the outcome once the bill is logged or replicated; `None` for bills that no caller waits for.
         reply: Option<RpcReplyPort<SubmitOutcome>>,
     },
-    /// The log service answered that a batch is in.
+    /// The log service acknowledged the batch with this sequence number.
     Appended(u64),
-    /// The log service did not answer; a bill may stand in the stream twice, so it is sent again.
+    /// The log service did not answer. The batch is requeued, since a bill may occur in the stream twice.
     Unanswered(u64),
-    /// Enough peers hold the bills of these requests.
+    /// Enough peers store replicas of the bills of these requests.
     Replicated(Vec<RequestId>),
-    /// VMs that were heard from.
+    /// Incarnations of the live VMs.
     LiveIncarnations(Vec<Incarnation>),
-    /// Whether everything that was submitted is in the log.
+    /// Ask whether all submitted bills are in the log.
     IsEmpty(RpcReplyPort<bool>),
-    /// Time to look at what is due.
+    /// Replicate overdue bills to peers.
     Tick,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// The actor of the service.
+/// Actor of the service.
 pub(crate) struct BillsActor;
 
 /// State of the service.
@@ -76,7 +76,7 @@
     type Arguments = Context;
 
     async fn pre_start(&self, myself: ActorRef<Self::Msg>, cx: Context) -> Result<BillsState, ActorProcessingErr> {
-        let ticker = super::send_periodically(myself, TICK, || BillsMessage::Tick);
+        let ticker = super::send_periodically(myself, TICK_INTERVAL, || BillsMessage::Tick);
         Ok(BillsState { outbox: Outbox::new(cx, Stream::Bills), _ticker: ticker })
     }
 
@@ -89,14 +89,14 @@
         let outbox = &mut state.outbox;
         match message {
             BillsMessage::Submit { record, reply } => outbox.push(*record, reply),
-            BillsMessage::Appended(seq) => outbox.resolve_all(seq),
-            BillsMessage::Unanswered(seq) => outbox.send_again(seq),
-            BillsMessage::Replicated(requests) => outbox.held(&requests),
-            BillsMessage::LiveIncarnations(live) => outbox.note_live(live),
+            BillsMessage::Appended(seq) => outbox.complete_all(seq),
+            BillsMessage::Unanswered(seq) => outbox.requeue(seq),
+            BillsMessage::Replicated(requests) => outbox.record_replicated(&requests),
+            BillsMessage::LiveIncarnations(live) => outbox.set_live(live),
             BillsMessage::IsEmpty(reply) => {
                 let _ = reply.send(outbox.is_empty());
             },
-            BillsMessage::Tick => outbox.offer_to_peers(OutboxOwner::Bills(myself.clone())),
+            BillsMessage::Tick => outbox.replicate_overdue(OutboxOwner::Bills(myself.clone())),
         }
         outbox.send_due(&myself);
         Ok(())
--- a/havengrade_router/src/services/ledger.rs
+++ b/havengrade_router/src/services/ledger.rs
@@ -1,4 +1,4 @@
-//! The service that appends claims, refusals and outcomes and replays the ledger.
+//! The service that appends claims, voided attempts and outcomes to the ledger and replays the ledger.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -31,41 +31,42 @@
 /// Name of the service.
 pub const NAME: &str = "ledger";
 
-/// Batches that are read at once.
-const READ_BATCHES: usize = 512;
-/// Time between two tries to reach the log service.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(50);
-/// What the service is told and asked.
+/// Maximum number of batches per read of the stream.
+const MAX_READ_BATCHES: usize = 512;
+/// Delay before a failed read of the stream is retried.
+const LOG_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Interval at which overdue records and abandoned claims are handled.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Messages to the service.
 pub enum LedgerMessage {
-    /// A part of the stream; answered once it is replayed.
+    /// Replay a slice of the stream that was read from the log.
     Replay {
-        /// The part.
+        /// The slice.
         slice: LogSlice,
-        /// Is told that the part is replayed.
+        /// Answered once the slice is replayed.
         reply: RpcReplyPort<()>,
     },
     /// Append a record.
     Submit {
         /// The record.
         record: Box<LedgerRecord>,
-        /// Is told how it fared; none for records that nobody waits for.
+        /// Receives the outcome; `None` for records that no caller waits for.
         reply: Option<RpcReplyPort<SubmitOutcome>>,
     },
-    /// The log service answered that a batch is in; what counts is that it is read back.
+    /// The log service acknowledged a batch, which only counts once it is read back.
     Appended,
-    /// Enough peers hold the records about these requests.
+    /// Enough peers store replicas of the records of these requests.
     Replicated(Vec<RequestId>),
-    /// What is known of a key.
+    /// Look up the state of a key.
     KeyState(ClaimKey, RpcReplyPort<Option<KeyState>>),
-    /// What is known of the key that a request holds.
+    /// Look up the key that a request claimed, and its state.
     RequestState(RequestId, RpcReplyPort<Option<(ClaimKey, KeyState)>>),
-    /// Whether everything that was submitted is in the log.
+    /// Ask whether all submitted records are in the log.
     IsEmpty(RpcReplyPort<bool>),
-    /// VMs that were heard from, so that what is left behind by others can be closed.
+    /// Incarnations of the live VMs; claims of other incarnations are settled as abandoned.
     LiveIncarnations(Vec<Incarnation>),
-    /// Time to look at what is due.
+    /// Handle overdue records and abandoned claims.
     Tick,
 }
 
@@ -75,7 +76,7 @@
     }
 
     fn unanswered(_seq: u64) -> Self {
-        // The same batch goes on; a second one with its claims would find the first.
+        // The same batch is retried. In a new batch, its claims would fail if the first one is in the log.
         Self::Tick
     }
 
@@ -84,20 +85,21 @@
     }
 }
 
-/// The actor of the service.
+/// Actor of the service.
 pub(crate) struct LedgerActor;
 
 /// State of the service.
 pub(crate) struct LedgerState {
     cx: Context,
     ledger: Ledger,
-    next: Arc<AtomicU64>,
+    next_offset: Arc<AtomicU64>,
     outbox: Outbox,
-    /// Claims of batches that were given up, by the batch's number.
-    given_up: BTreeMap<u64, Vec<LedgerRecord>>,
-    live: HashMap<Incarnation, SystemTime>,
+    /// Records of cancelled batches by sequence number. A batch can still reach the log after its cancellation.
+    cancelled: BTreeMap<u64, Vec<LedgerRecord>>,
+    /// Time at which each live incarnation was last reported.
+    last_live: HashMap<Incarnation, SystemTime>,
     last_sweep: SystemTime,
-    _tail: AbortOnDropHandle<()>,
+    _reader: AbortOnDropHandle<()>,
     _ticker: AbortOnDropHandle<()>,
 }
 
@@ -107,20 +109,20 @@
     type Arguments = Context;
 
     async fn pre_start(&self, myself: ActorRef<Self::Msg>, cx: Context) -> Result<LedgerState, ActorProcessingErr> {
-        let next = Arc::new(AtomicU64::new(0));
-        let tail = tokio::spawn(tail(cx.clone(), myself.clone(), next.clone()));
+        let next_offset = Arc::new(AtomicU64::new(0));
+        let reader = tokio::spawn(read_stream(cx.clone(), myself.clone(), next_offset.clone()));
         let now = cx.shared.clock.now();
         let outbox = Outbox::new(cx.clone(), Stream::Ledger);
         Ok(LedgerState {
             cx,
             ledger: Ledger::default(),
-            next,
+            next_offset,
             outbox,
-            given_up: BTreeMap::new(),
-            live: HashMap::new(),
+            cancelled: BTreeMap::new(),
+            last_live: HashMap::new(),
             last_sweep: now,
-            _tail: AbortOnDropHandle::new(tail),
-            _ticker: super::send_periodically(myself, TICK, || LedgerMessage::Tick),
+            _reader: AbortOnDropHandle::new(reader),
+            _ticker: super::send_periodically(myself, TICK_INTERVAL, || LedgerMessage::Tick),
         })
     }
 
@@ -132,12 +134,12 @@
     ) -> Result<(), ActorProcessingErr> {
         match message {
             LedgerMessage::Replay { slice, reply } => {
-                state.read(&slice);
+                state.replay_slice(&slice);
                 let _ = reply.send(());
             },
             LedgerMessage::Submit { record, reply } => state.outbox.push(*record, reply),
             LedgerMessage::Appended => {},
-            LedgerMessage::Replicated(requests) => state.outbox.held(&requests),
+            LedgerMessage::Replicated(requests) => state.outbox.record_replicated(&requests),
             LedgerMessage::KeyState(key, reply) => {
                 let _ = reply.send(state.ledger.key_state(&key).cloned());
             },
@@ -148,8 +150,8 @@
                 let _ = reply.send(state.outbox.is_empty());
             },
             LedgerMessage::LiveIncarnations(live) => {
-                state.note_live(&live);
-                state.outbox.note_live(live);
+                state.record_live(&live);
+                state.outbox.set_live(live);
             },
             LedgerMessage::Tick => state.tick(&myself),
         }
@@ -158,60 +160,61 @@
     }
 }
 
-/// Reads the stream from where the replay stands, again and again.
-async fn tail(cx: Context, service: ActorRef<LedgerMessage>, next: Arc<AtomicU64>) {
+/// Reads the stream from the next offset to replay, in a loop.
+async fn read_stream(cx: Context, service: ActorRef<LedgerMessage>, next_offset: Arc<AtomicU64>) {
     let wait = Duration::from_millis(cx.shared.settings.log_service.read_wait_ms);
     loop {
-        let from = next.load(Ordering::Acquire);
-        match cx.log.read(Stream::Ledger, from, READ_BATCHES, wait).await {
+        let from = next_offset.load(Ordering::Acquire);
+        match cx.log.read(Stream::Ledger, from, MAX_READ_BATCHES, wait).await {
             Ok(slice) => {
                 if service.call(|reply| LedgerMessage::Replay { slice, reply }, None).await.is_err() {
                     return;
                 }
             },
             Err(error) => {
-                log::debug!(service = NAME; "{error}");
-                sleep(RETRY_PAUSE).await;
+                log::debug!(service = NAME; "failed to read the ledger stream: {error}");
+                sleep(LOG_RETRY_DELAY).await;
             },
         }
     }
 }
 
 impl LedgerState {
-    fn read(&mut self, slice: &LogSlice) {
+    fn replay_slice(&mut self, slice: &LogSlice) {
         for record in &slice.records {
             match serde_json::from_str::<Batch>(&record.data) {
-                Ok(batch) => self.replay(record.offset, &batch),
+                Ok(batch) => self.replay_batch(record.offset, &batch),
                 Err(error) => {
-                    log::error!(service = NAME, offset = record.offset; "batch can't be read, passed over: {error}");
+                    log::error!(service = NAME, offset = record.offset; "skipping a malformed ledger batch: {error}");
                 },
             }
         }
         let after = slice.records.last().map_or(slice.first, |record| record.offset + 1);
-        self.next.fetch_max(after, Ordering::AcqRel);
+        self.next_offset.fetch_max(after, Ordering::AcqRel);
         self.ledger.evict_expired(Duration::from_secs(self.cx.shared.settings.claims.horizon_s));
     }
 
-    fn replay(&mut self, offset: Offset, batch: &Batch) {
-        let Some(verdicts) = self.ledger.replay(offset, batch) else { return };
+    fn replay_batch(&mut self, offset: Offset, batch: &Batch) {
+        let Some(results) = self.ledger.replay(offset, batch) else { return };
         if batch.writer != self.cx.shared.incarnation {
             return;
         }
-        if let Some(claims) = self.given_up.remove(&batch.seq) {
-            self.give_back(&claims, &verdicts);
+        if let Some(claims) = self.cancelled.remove(&batch.seq) {
+            self.void_late_claims(&claims, &results);
             return;
         }
-        if !self.outbox.resolve(batch.seq, verdicts) {
+        if !self.outbox.complete(batch.seq, results) {
             return;
         }
-        // An earlier batch that has not come by yet is passed over by all from now on.
-        self.given_up = self.given_up.split_off(&batch.seq);
+        // Replay ignores a batch that reaches the log after a later one of the same writer, so cancelled batches
+        // before this one can't take effect any more.
+        self.cancelled = self.cancelled.split_off(&batch.seq);
     }
 
-    /// Gives back claims that landed after this VM had given them up; it never sent them.
-    fn give_back(&mut self, records: &[LedgerRecord], verdicts: &[ApplyResult]) {
-        for (record, verdict) in records.iter().zip(verdicts) {
-            if let (LedgerRecord::Claim(claim), ApplyResult::Applied) = (record, verdict) {
+    /// Voids claims that reached the log after this VM had cancelled them, so never ran their requests.
+    fn void_late_claims(&mut self, records: &[LedgerRecord], results: &[ApplyResult]) {
+        for (record, result) in records.iter().zip(results) {
+            if let (LedgerRecord::Claim(claim), ApplyResult::Applied) = (record, result) {
                 let (key, up_to): (_, Attempt) = (claim.key.clone(), claim.attempt);
                 let (holder, request_id) = (claim.holder, claim.request_id.clone());
                 self.outbox.push(LedgerRecord::Void { key, up_to, holder, request_id }, None);
@@ -220,47 +223,48 @@
     }
 
     fn tick(&mut self, myself: &ActorRef<LedgerMessage>) {
-        if let Some(batch) = self.outbox.give_up_late() {
-            self.given_up.insert(batch.seq, batch.records);
+        if let Some(batch) = self.outbox.cancel_overdue() {
+            self.cancelled.insert(batch.seq, batch.records);
         }
-        self.outbox.offer_to_peers(OutboxOwner::Ledger(myself.clone()));
-        self.close_abandoned(self.cx.shared.clock.now());
+        self.outbox.replicate_overdue(OutboxOwner::Ledger(myself.clone()));
+        self.settle_abandoned_claims(self.cx.shared.clock.now());
     }
 
-    fn note_live(&mut self, live: &[Incarnation]) {
+    fn record_live(&mut self, live: &[Incarnation]) {
         let now = self.cx.shared.clock.now();
-        self.live.extend(live.iter().map(|incarnation| (*incarnation, now)));
+        self.last_live.extend(live.iter().map(|incarnation| (*incarnation, now)));
     }
 
-    /// Settles claims whose holder is gone as "may have run", so that no caller waits for ever.
-    fn close_abandoned(&mut self, now: SystemTime) {
-        /// Time between two sweeps.
-        const SWEEP_EVERY: Duration = Duration::from_secs(1);
-        if now.duration_since(self.last_sweep).unwrap_or_default() < SWEEP_EVERY {
+    /// Settles claims whose holder is gone as "may have run", so that no caller waits forever.
+    fn settle_abandoned_claims(&mut self, now: SystemTime) {
+        /// Interval between two sweeps.
+        const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+        if now.duration_since(self.last_sweep).unwrap_or_default() < SWEEP_INTERVAL {
             return;
         }
         self.last_sweep = now;
         let limit = Duration::from_secs(self.cx.shared.settings.claims.abandoned_s);
-        self.live.retain(|_, heard| now.duration_since(*heard).unwrap_or_default() < limit);
-        let is_old = |at: SystemTime| now.duration_since(at).unwrap_or_default() >= limit;
-        // One VM settles each of them; the others only where it has not done so for as long again.
+        self.last_live.retain(|_, last_live| now.duration_since(*last_live).unwrap_or_default() < limit);
+        let is_past_limit = |at: SystemTime| now.duration_since(at).unwrap_or_default() >= limit;
+        // Each claim is settled by one responsible VM, and by the others only if it is still unsettled after
+        // twice the limit.
         let live = self.cx.shared.live_vms();
-        let own = live.iter().position(|vm| vm == self.cx.shared.vm()).unwrap_or_default() as u64;
-        let is_ours = |key: &ClaimKey, at: SystemTime| {
-            let turn = uniform_hash(&[&key.account, &key.key]) % live.len().max(1) as u64;
-            turn == own || now.duration_since(at).unwrap_or_default() >= 2 * limit
+        let own_index = live.iter().position(|vm| vm == self.cx.shared.vm()).unwrap_or_default() as u64;
+        let is_responsible = |key: &ClaimKey, at: SystemTime| {
+            let responsible = uniform_hash(&[&key.account, &key.key]) % live.len().max(1) as u64;
+            responsible == own_index || now.duration_since(at).unwrap_or_default() >= 2 * limit
         };
         let abandoned: Vec<LedgerRecord> = self
             .ledger
             .unsettled_claims()
             .filter(|(_, claim)| claim.holder != self.cx.shared.incarnation)
-            .filter(|(_, claim)| is_old(claim.at) && !self.live.contains_key(&claim.holder))
-            .filter(|(key, claim)| is_ours(key, claim.at))
+            .filter(|(_, claim)| is_past_limit(claim.at) && !self.last_live.contains_key(&claim.holder))
+            .filter(|(key, claim)| is_responsible(key, claim.at))
             .map(|(key, claim)| LedgerRecord::settle_abandoned(key, claim, now))
             .collect();
         for record in abandoned {
-            let is_on_its_way = record.request_id().is_some_and(|id| self.outbox.has(id));
-            if !is_on_its_way {
+            let is_pending = record.request_id().is_some_and(|id| self.outbox.contains(id));
+            if !is_pending {
                 self.outbox.push(record, None);
             }
         }
--- a/havengrade_router/src/services/outbox.rs
+++ b/havengrade_router/src/services/outbox.rs
@@ -1,4 +1,4 @@
-//! Records on their way into a stream of the log: gathered, sent in batches, and held by peers in an outage.
+//! Queue of records to append to a stream of the log, in batches, with replicas at peers during an outage.
 
 use std::time::{Duration, SystemTime};
 
@@ -17,38 +17,38 @@
     services::peers::{self, OutboxOwner, PeersMessage},
 };
 
-/// Records that one batch carries at the most.
-const MAX_BATCH: usize = 512;
-/// Time between two tries to reach the log service.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Time after which a record that is not in the log yet is given to peers to hold.
-const HOLD_AFTER: Duration = Duration::from_millis(500);
+/// Maximum number of records per batch.
+const MAX_BATCH_RECORDS: usize = 512;
+/// Delay before a failed append is retried.
+const LOG_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Time after which a record that is not in the log yet is replicated to peers.
+const REPLICATE_AFTER: Duration = Duration::from_millis(500);
 
-/// How a submitted record fared.
+/// Outcome of a submitted record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// It stands in the log; this is how it fared there.
+    /// The record is in the log, and had this result when it was replayed.
     Logged(ApplyResult),
-    /// It is not in the log yet, but other VMs hold it until it is.
+    /// The record is not in the log yet; other VMs store replicas until it is.
     Replicated,
-    /// It was given up; if it lands after all, what it claims is given back.
+    /// The record was cancelled; if it reaches the log after all, its claim is voided.
     Cancelled,
 }
 
-/// A record on its way into the log.
-pub(super) struct Pending {
+/// A record that is not known to be in the log.
+pub(super) struct PendingRecord {
     pub(super) record: LedgerRecord,
     reply: Option<RpcReplyPort<SubmitOutcome>>,
-    since: SystemTime,
-    /// When peers were asked to hold it.
-    offered: Option<SystemTime>,
-    is_held: bool,
+    submitted_at: SystemTime,
+    /// Time at which peers were last asked to store replicas.
+    offered_at: Option<SystemTime>,
+    is_replicated: bool,
 }
 
-impl Pending {
-    /// A claim, or a refusal that a caller waits for, is worth nothing once its request is over; the
-    /// rest is never given up.
-    fn may_be_given_up(&self) -> bool {
+impl PendingRecord {
+    /// Returns whether the record may be cancelled: a claim, or a refusal that a caller waits for, is of no use
+    /// once its request has ended. Other records are never cancelled.
+    fn is_cancellable(&self) -> bool {
         match self.record {
             LedgerRecord::Claim(_) => true,
             LedgerRecord::Void { .. } => self.reply.is_some(),
@@ -56,108 +56,120 @@
         }
     }
 
-    fn answer(&mut self, submitted: SubmitOutcome) {
+    fn answer(&mut self, outcome: SubmitOutcome) {
         if let Some(reply) = self.reply.take() {
-            let _ = reply.send(submitted);
+            let _ = reply.send(outcome);
         }
     }
 }
 
-/// A batch that has been sent but is not known to be in.
-struct Sent {
+/// A batch that was sent but is not known to be in the log.
+struct SentBatch {
     seq: u64,
-    records: Vec<Pending>,
+    records: Vec<PendingRecord>,
     _append: AbortOnDropHandle<()>,
 }
 
-/// A batch that was given up although it may still land.
-pub(super) struct GivenUpBatch {
-    /// Its number.
+/// A cancelled batch, which may still reach the log.
+pub(super) struct CancelledBatch {
+    /// Sequence number of the batch.
     pub(super) seq: u64,
-    /// Its records.
+    /// Records of the batch.
     pub(super) records: Vec<LedgerRecord>,
 }
 
-/// What a service that has an outbox is told by it.
+/// Messages from an outbox to the service that owns it.
 pub(super) trait OutboxMessage: Message {
-    /// The log service answered that a batch is in.
+    /// The log service acknowledged a batch.
     fn appended(seq: u64) -> Self;
 
-    /// The log service did not answer; the batch may be in all the same.
+    /// The log service did not answer; the batch may be in the log nevertheless.
     fn unanswered(seq: u64) -> Self;
 
-    /// Something may be due.
+    /// A batch may be due.
     fn wake() -> Self;
 }
 
-/// Records on their way into a stream of the log.
+/// Queue of records to append to a stream of the log, with at most one batch in flight.
 pub(super) struct Outbox {
     cx: Context,
     stream: Stream,
-    queue: Vec<Pending>,
-    sent: Option<Sent>,
+    queue: Vec<PendingRecord>,
+    in_flight: Option<SentBatch>,
     last_seq: u64,
-    /// When a message to ourselves was last asked for.
-    wakes_at: Option<SystemTime>,
-    counted: usize,
-    live: Vec<Incarnation>,
+    /// Time for which the latest wake message to the service is scheduled.
+    wake_at: Option<SystemTime>,
+    /// Number of records that the VM's count of waiting records includes for this outbox.
+    counted_waiting: usize,
+    live_incarnations: Vec<Incarnation>,
 }
 
 impl Outbox {
     pub(super) fn new(cx: Context, stream: Stream) -> Self {
-        Self { cx, stream, queue: Vec::new(), sent: None, last_seq: 0, wakes_at: None, counted: 0, live: Vec::new() }
+        Self {
+            cx,
+            stream,
+            queue: Vec::new(),
+            in_flight: None,
+            last_seq: 0,
+            wake_at: None,
+            counted_waiting: 0,
+            live_incarnations: Vec::new(),
+        }
     }
 
     fn now(&self) -> SystemTime {
         self.cx.shared.clock.now()
     }
 
-    /// Whether everything is in the log.
+    /// Returns whether all submitted records are in the log.
     pub(super) fn is_empty(&self) -> bool {
-        self.queue.is_empty() && self.sent.is_none()
+        self.queue.is_empty() && self.in_flight.is_none()
     }
 
-    fn pending(&mut self) -> impl Iterator<Item = &mut Pending> {
-        let sent = self.sent.iter_mut().flat_map(|sent| sent.records.iter_mut());
+    fn pending_records(&mut self) -> impl Iterator<Item = &mut PendingRecord> {
+        let sent = self.in_flight.iter_mut().flat_map(|sent| sent.records.iter_mut());
         self.queue.iter_mut().chain(sent)
     }
 
-    /// Whether a record about the request is on its way.
-    pub(super) fn has(&self, request_id: &str) -> bool {
-        let sent = self.sent.iter().flat_map(|sent| sent.records.iter());
+    /// Returns whether a record of the request is pending.
+    pub(super) fn contains(&self, request_id: &str) -> bool {
+        let sent = self.in_flight.iter().flat_map(|sent| sent.records.iter());
         self.queue.iter().chain(sent).any(|it| it.record.request_id().is_some_and(|id| id == request_id))
     }
 
+    /// Queues a record; `reply` receives its outcome.
     pub(super) fn push(&mut self, record: LedgerRecord, reply: Option<RpcReplyPort<SubmitOutcome>>) {
-        let since = self.now();
-        self.queue.push(Pending { record, reply, since, offered: None, is_held: false });
+        let submitted_at = self.now();
+        self.queue.push(PendingRecord { record, reply, submitted_at, offered_at: None, is_replicated: false });
     }
 
-    /// Sends the queue as a batch if none is on its way and the VM's share of appends allows it.
+    /// Sends the queue as a batch if no batch is in flight and the VM's append budget allows it.
     pub(super) fn send_due<M: OutboxMessage>(&mut self, service: &ActorRef<M>) {
-        self.count_waiting();
+        self.update_waiting_count();
         let now = self.now();
-        let Some(first) = self.queue.first().filter(|_| self.sent.is_none()) else { return };
+        let Some(first) = self.queue.first().filter(|_| self.in_flight.is_none()) else { return };
         let window = Duration::from_millis(self.cx.shared.settings.claims.batch_window_ms);
-        let is_full = self.queue.len() >= MAX_BATCH;
-        let gathers = (first.since + window).duration_since(now).ok().filter(|wait| !wait.is_zero() && !is_full);
-        let wait = gathers.or_else(|| self.cx.shared.take_append(now).err());
+        let is_full = self.queue.len() >= MAX_BATCH_RECORDS;
+        let gathering_wait =
+            (first.submitted_at + window).duration_since(now).ok().filter(|wait| !wait.is_zero() && !is_full);
+        let wait = gathering_wait.or_else(|| self.cx.shared.take_append(now).err());
         match wait {
-            Some(wait) => self.wake_after(wait, now, service),
-            None => self.send(now, service),
+            Some(wait) => self.schedule_wake(wait, now, service),
+            None => self.send_batch(now, service),
         }
     }
 
-    fn wake_after<M: OutboxMessage>(&mut self, wait: Duration, now: SystemTime, service: &ActorRef<M>) {
-        if self.wakes_at.is_none_or(|at| at <= now) {
-            self.wakes_at = Some(now + wait);
+    fn schedule_wake<M: OutboxMessage>(&mut self, wait: Duration, now: SystemTime, service: &ActorRef<M>) {
+        if self.wake_at.is_none_or(|at| at <= now) {
+            self.wake_at = Some(now + wait);
             drop(service.send_after(wait, M::wake));
         }
     }
 
-    fn send<M: OutboxMessage>(&mut self, now: SystemTime, service: &ActorRef<M>) {
-        let rest = self.queue.split_off(self.queue.len().min(MAX_BATCH));
-        let records = std::mem::replace(&mut self.queue, rest);
+    fn send_batch<M: OutboxMessage>(&mut self, now: SystemTime, service: &ActorRef<M>) {
+        let remaining = self.queue.split_off(self.queue.len().min(MAX_BATCH_RECORDS));
+        let records = std::mem::replace(&mut self.queue, remaining);
         self.last_seq += 1;
         let batch = Batch {
             writer: self.cx.shared.incarnation,
@@ -165,46 +177,46 @@
             at: now,
             records: records.iter().map(|pending| pending.record.clone()).collect(),
         };
-        self.count_batch(batch.records.len());
-        let append = tokio::spawn(append(self.cx.clone(), self.stream, service.clone(), batch));
-        self.sent = Some(Sent { seq: self.last_seq, records, _append: AbortOnDropHandle::new(append) });
+        self.record_batch_metrics(batch.records.len());
+        let append = tokio::spawn(append_until_acknowledged(self.cx.clone(), self.stream, service.clone(), batch));
+        self.in_flight = Some(SentBatch { seq: self.last_seq, records, _append: AbortOnDropHandle::new(append) });
     }
 
-    fn count_batch(&self, records: usize) {
+    fn record_batch_metrics(&self, records: usize) {
         let (vm, stream) = (self.cx.shared.vm().clone(), self.stream.to_string());
         metrics::counter!("havengrade_log_appends", "vm" => vm.clone(), "stream" => stream.clone()).increment(1);
         metrics::counter!("havengrade_log_records", "vm" => vm, "stream" => stream).increment(records as u64);
     }
 
-    /// Ends a batch that is in, each record with its verdict; tells whether it was the one on its way.
-    pub(super) fn resolve(&mut self, seq: u64, verdicts: Vec<ApplyResult>) -> bool {
-        let Some(sent) = self.sent.take_if(|sent| sent.seq == seq) else { return false };
-        let mut no_longer_held = Vec::new();
-        for (mut pending, verdict) in sent.records.into_iter().zip(verdicts) {
-            pending.answer(SubmitOutcome::Logged(verdict));
-            no_longer_held.extend(pending.record.request_id().filter(|_| pending.offered.is_some()).cloned());
+    /// Completes the records of a logged batch with their results; returns whether it was the batch in flight.
+    pub(super) fn complete(&mut self, seq: u64, results: Vec<ApplyResult>) -> bool {
+        let Some(sent) = self.in_flight.take_if(|sent| sent.seq == seq) else { return false };
+        let mut replicated = Vec::new();
+        for (mut pending, result) in sent.records.into_iter().zip(results) {
+            pending.answer(SubmitOutcome::Logged(result));
+            replicated.extend(pending.record.request_id().filter(|_| pending.offered_at.is_some()).cloned());
         }
-        self.release(no_longer_held);
+        self.release_replicas(replicated);
         true
     }
 
-    /// Ends the batch on its way once the log service has answered that it is in.
-    pub(super) fn resolve_all(&mut self, seq: u64) {
-        let count = self.sent.as_ref().map_or(0, |sent| sent.records.len());
-        self.resolve(seq, vec![ApplyResult::Applied; count]);
+    /// Completes an acknowledged batch with all its records applied, without waiting for its replay.
+    pub(super) fn complete_all(&mut self, seq: u64) {
+        let count = self.in_flight.as_ref().map_or(0, |sent| sent.records.len());
+        self.complete(seq, vec![ApplyResult::Applied; count]);
     }
 
-    /// Puts the records of an unanswered batch back, to be sent again with those that came since.
+    /// Puts the records of an unanswered batch back at the front of the queue, to be sent in a new batch.
     ///
-    /// Only for records that may stand in the log twice; the others wait behind their batch.
-    pub(super) fn send_again(&mut self, seq: u64) {
-        if let Some(sent) = self.sent.take_if(|sent| sent.seq == seq) {
+    /// Only for records that may occur in the log twice; for others, the same batch is retried.
+    pub(super) fn requeue(&mut self, seq: u64) {
+        if let Some(sent) = self.in_flight.take_if(|sent| sent.seq == seq) {
             self.queue.splice(0..0, sent.records);
         }
     }
 
-    /// Tells peers that they need no longer hold what is in the log now.
-    fn release(&self, requests: Vec<RequestId>) {
+    /// Asks peers to drop their replicas of records that are in the log now.
+    fn release_replicas(&self, requests: Vec<RequestId>) {
         if requests.is_empty() {
             return;
         }
@@ -213,79 +225,81 @@
         }
     }
 
-    /// Gives up claims that have waited too long; the rest of their batch goes on under another number.
-    pub(super) fn give_up_late(&mut self) -> Option<GivenUpBatch> {
+    /// Cancels claims past their deadline; the remaining records of their batch are requeued for a new batch.
+    ///
+    /// Returns the batch in flight if it contained one of them.
+    pub(super) fn cancel_overdue(&mut self) -> Option<CancelledBatch> {
         let now = self.now();
         let deadline = Duration::from_millis(self.cx.shared.settings.claims.deadline_ms);
-        let is_late = |pending: &Pending| {
-            pending.may_be_given_up() && now.duration_since(pending.since).unwrap_or_default() >= deadline
+        let is_overdue = |pending: &PendingRecord| {
+            pending.is_cancellable() && now.duration_since(pending.submitted_at).unwrap_or_default() >= deadline
         };
-        let (late, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.queue).into_iter().partition(is_late);
-        self.queue = rest;
-        late.into_iter().for_each(|mut pending| pending.answer(SubmitOutcome::Cancelled));
-        let sent = self.sent.take_if(|sent| sent.records.iter().any(is_late))?;
+        let (overdue, remaining): (Vec<_>, Vec<_>) = std::mem::take(&mut self.queue).into_iter().partition(is_overdue);
+        self.queue = remaining;
+        overdue.into_iter().for_each(|mut pending| pending.answer(SubmitOutcome::Cancelled));
+        let sent = self.in_flight.take_if(|sent| sent.records.iter().any(is_overdue))?;
         let records = sent.records.iter().map(|pending| pending.record.clone()).collect();
-        let (late, rest): (Vec<_>, Vec<_>) = sent.records.into_iter().partition(Pending::may_be_given_up);
-        late.into_iter().for_each(|mut pending| pending.answer(SubmitOutcome::Cancelled));
-        self.queue.splice(0..0, rest);
-        Some(GivenUpBatch { seq: sent.seq, records })
+        let (overdue, remaining): (Vec<_>, Vec<_>) = sent.records.into_iter().partition(PendingRecord::is_cancellable);
+        overdue.into_iter().for_each(|mut pending| pending.answer(SubmitOutcome::Cancelled));
+        self.queue.splice(0..0, remaining);
+        Some(CancelledBatch { seq: sent.seq, records })
     }
 
-    /// Offers bills and outcomes to peers while the log service is away.
-    pub(super) fn offer_to_peers(&mut self, holder: OutboxOwner) {
+    /// Replicates bills and outcomes to peers if the log service has not acknowledged them in time.
+    pub(super) fn replicate_overdue(&mut self, owner: OutboxOwner) {
         let now = self.now();
-        let is_due = |pending: &&mut Pending| {
-            let waits_since = pending.offered.unwrap_or(pending.since);
-            let has_waited = now.duration_since(waits_since).unwrap_or_default() >= HOLD_AFTER;
-            has_waited && !pending.is_held && !pending.may_be_given_up()
+        let is_due = |pending: &&mut PendingRecord| {
+            let waiting_since = pending.offered_at.unwrap_or(pending.submitted_at);
+            let is_overdue = now.duration_since(waiting_since).unwrap_or_default() >= REPLICATE_AFTER;
+            is_overdue && !pending.is_replicated && !pending.is_cancellable()
         };
         let mut records = Vec::new();
-        for pending in self.pending().filter(is_due) {
-            pending.offered = Some(now);
+        for pending in self.pending_records().filter(is_due) {
+            pending.offered_at = Some(now);
             records.push(pending.record.clone());
         }
         if records.is_empty() {
             return;
         }
         if let Some(peers) = self.cx.find::<PeersMessage>(peers::NAME) {
-            let _ = peers.cast(PeersMessage::Replicate { records, holder });
+            let _ = peers.cast(PeersMessage::Replicate { records, owner });
         }
     }
 
-    /// Takes over which VMs live; when that changes, what peers hold is offered again.
+    /// Sets the live incarnations; if they change, pending records are replicated again.
     ///
-    /// A VM that was replaced has lost what it held, and its successor can hold it again.
-    pub(super) fn note_live(&mut self, mut live: Vec<Incarnation>) {
-        live.sort_unstable();
-        if self.live == live {
+    /// A VM that was replaced has lost its replicas, and its successor can store them again.
+    pub(super) fn set_live(&mut self, mut live_incarnations: Vec<Incarnation>) {
+        live_incarnations.sort_unstable();
+        if self.live_incarnations == live_incarnations {
             return;
         }
-        self.live = live;
-        self.pending().for_each(|pending| pending.is_held = false);
+        self.live_incarnations = live_incarnations;
+        self.pending_records().for_each(|pending| pending.is_replicated = false);
     }
 
-    /// Notes that enough peers hold the records about these requests.
-    pub(super) fn held(&mut self, requests: &[RequestId]) {
-        for pending in self.pending() {
+    /// Records that enough peers store replicas of the records of these requests.
+    pub(super) fn record_replicated(&mut self, requests: &[RequestId]) {
+        for pending in self.pending_records() {
             if pending.record.request_id().is_some_and(|id| requests.contains(id)) {
-                pending.is_held = true;
+                pending.is_replicated = true;
                 pending.answer(SubmitOutcome::Replicated);
             }
         }
     }
 
-    fn count_waiting(&mut self) {
-        let waiting = self.queue.len() + self.sent.as_ref().map_or(0, |sent| sent.records.len());
-        self.cx.shared.change_waiting(self.counted, waiting);
-        self.counted = waiting;
+    fn update_waiting_count(&mut self) {
+        let waiting = self.queue.len() + self.in_flight.as_ref().map_or(0, |sent| sent.records.len());
+        self.cx.shared.change_waiting(self.counted_waiting, waiting);
+        self.counted_waiting = waiting;
     }
 }
 
-/// Appends a batch until the log service answers; the same batch twice has no effect.
-async fn append<M: OutboxMessage>(cx: Context, stream: Stream, service: ActorRef<M>, batch: Batch) {
+/// Retries to append a batch until the log service acknowledges it; a duplicate batch has no effect.
+async fn append_until_acknowledged<M: OutboxMessage>(cx: Context, stream: Stream, service: ActorRef<M>, batch: Batch) {
     let Ok(data) = serde_json::to_string(&batch) else { return };
     while cx.log.append(stream, data.clone()).await.is_err() {
-        sleep(RETRY_PAUSE).await;
+        sleep(LOG_RETRY_DELAY).await;
         if service.cast(M::unanswered(batch.seq)).is_err() {
             return;
         }
--- a/havengrade_router/src/services/peers/mod.rs
+++ b/havengrade_router/src/services/peers/mod.rs
@@ -1,4 +1,6 @@
-//! The service that speaks with the other VMs: one connection each way, one reply to each request.
+//! The service that exchanges requests with the other VMs, over one connection in each direction.
+//!
+//! While the log service is unreachable, VMs store replicas of each other's pending ledger records and bills.
 
 mod client;
 mod server;
@@ -20,7 +22,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use self::{
-    client::{Peer, hold_at},
+    client::{Peer, replicate_to},
     server::serve,
 };
 use crate::{
@@ -33,22 +35,22 @@
 /// Name of the service.
 pub const NAME: &str = "peers";
 
-/// Time between two looks at records that are held for others.
-const TICK: Duration = Duration::from_millis(500);
-/// Records that are held for all others together.
-const MAX_HELD: usize = 100_000;
+/// Interval at which replicas are checked for orphans.
+const TICK_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of replicas stored for all other VMs together.
+const MAX_REPLICAS: usize = 100_000;
 
-/// Who is told when records are held.
+/// Service that owns the outbox of replicated records.
 pub enum OutboxOwner {
     /// The ledger service.
     Ledger(ActorRef<LedgerMessage>),
-    /// The service for bills.
+    /// The bills service.
     Bills(ActorRef<BillsMessage>),
 }
 
 impl OutboxOwner {
-    fn tell(self, requests: Vec<RequestId>) {
-        // A service that is gone needs no word any more.
+    fn notify_replicated(self, requests: Vec<RequestId>) {
+        // A service that has stopped needs no notification.
         match self {
             Self::Ledger(service) => drop(service.cast(LedgerMessage::Replicated(requests))),
             Self::Bills(service) => drop(service.cast(BillsMessage::Replicated(requests))),
@@ -56,52 +58,52 @@
     }
 }
 
-/// What the service is told and asked.
+/// Messages to the service.
 pub enum PeersMessage {
-    /// The VMs that are listed.
+    /// Entries of the platform's VM list.
     VmList(Vec<ListedVm>),
     /// Send a request to a VM.
     Send {
-        /// The VM.
+        /// Name of the VM.
         to: VmId,
         /// The request.
         request: Box<PeerRequest>,
-        /// Is given its reply; dropped if none comes.
+        /// Receives the VM's reply; dropped if there is none.
         reply: RpcReplyPort<PeerReply>,
     },
-    /// Have records held by peers while the log service is away.
+    /// Replicate records to peers while the log service is unreachable.
     Replicate {
         /// The records.
         records: Vec<LedgerRecord>,
-        /// Is told when enough peers hold them.
-        holder: OutboxOwner,
+        /// Service that is notified when enough peers store replicas.
+        owner: OutboxOwner,
     },
-    /// Tell peers that they need no longer hold records of ours.
+    /// Ask peers to drop replicas of this VM's records.
     ReleaseReplicas {
-        /// The requests that the records are about.
+        /// Requests of the records.
         requests: Vec<RequestId>,
     },
-    /// A peer has records to be held.
+    /// Store replicas of a peer's records.
     StoreReplicas {
-        /// Run of the process that wrote them.
+        /// Incarnation of the process that wrote the records.
         writer: Incarnation,
         /// The records.
         records: Vec<LedgerRecord>,
-        /// Is told whether they are held.
+        /// Receives whether the replicas are stored.
         reply: RpcReplyPort<bool>,
     },
-    /// A peer no longer needs records to be held.
+    /// Drop the replicas of a peer's records.
     DropReplicas {
-        /// Run of the process that wrote them.
+        /// Incarnation of the process that wrote the records.
         writer: Incarnation,
-        /// The requests that they are about.
+        /// Requests of the records.
         requests: Vec<RequestId>,
     },
-    /// VMs that were heard from.
+    /// Incarnations of the live VMs.
     LiveIncarnations(Vec<Incarnation>),
-    /// A process is gone, since its VM runs another.
+    /// An incarnation is gone, since its VM runs another process.
     IncarnationGone(Incarnation),
-    /// Time to look at what is held.
+    /// Check the replicas for orphans.
     Tick,
 }
 
@@ -121,23 +123,25 @@
     }
 }
 
+/// Actor of the service.
 struct PeersActor;
 
-/// Records that are held for another VM.
-struct HeldRecords {
+/// Replicas of the records of one incarnation.
+struct WriterReplicas {
     records: HashMap<RequestId, LedgerRecord>,
-    /// When its writer was last heard from.
-    heard: SystemTime,
-    /// When its writer last gave us some.
-    taken: SystemTime,
+    /// Time at which the writer was last reported live.
+    last_live: SystemTime,
+    /// Time at which the writer last sent records.
+    last_stored: SystemTime,
 }
 
+/// State of the service.
 struct PeersState {
     cx: Context,
     peers: HashMap<VmId, Peer>,
-    held: HashMap<Incarnation, HeldRecords>,
-    /// When the log was last seen to be away.
-    log_away: Option<SystemTime>,
+    replicas: HashMap<Incarnation, WriterReplicas>,
+    /// Time at which the log service was last found unreachable.
+    log_unreachable_at: Option<SystemTime>,
     calls: Vec<AbortOnDropHandle<()>>,
     _server: AbortOnDropHandle<()>,
     _ticker: AbortOnDropHandle<()>,
@@ -157,11 +161,11 @@
         Ok(PeersState {
             cx,
             peers: HashMap::new(),
-            held: HashMap::new(),
-            log_away: None,
+            replicas: HashMap::new(),
+            log_unreachable_at: None,
             calls: Vec::new(),
             _server: AbortOnDropHandle::new(server),
-            _ticker: crate::services::send_periodically(myself, TICK, || PeersMessage::Tick),
+            _ticker: crate::services::send_periodically(myself, TICK_INTERVAL, || PeersMessage::Tick),
         })
     }
 
@@ -172,22 +176,22 @@
         state: &mut PeersState,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            PeersMessage::VmList(vms) => state.listed(vms),
+            PeersMessage::VmList(vms) => state.update_vm_list(vms),
             PeersMessage::Send { to, request, reply } => state.send(&to, *request, reply),
-            PeersMessage::Replicate { records, holder } => state.hold(&records, holder),
-            PeersMessage::ReleaseReplicas { requests } => state.release_at_peers(&requests),
+            PeersMessage::Replicate { records, owner } => state.replicate(&records, owner),
+            PeersMessage::ReleaseReplicas { requests } => state.release_replicas(&requests),
             PeersMessage::StoreReplicas { writer, records, reply } => {
-                let _ = reply.send(state.take(writer, records));
+                let _ = reply.send(state.store_replicas(writer, records));
             },
-            PeersMessage::DropReplicas { writer, requests } => state.release(writer, &requests),
-            PeersMessage::LiveIncarnations(live) => state.note_live(&live),
+            PeersMessage::DropReplicas { writer, requests } => state.drop_replicas(writer, &requests),
+            PeersMessage::LiveIncarnations(live) => state.record_live(&live),
             PeersMessage::IncarnationGone(writer) => {
-                if let Some(held) = state.held.get_mut(&writer) {
-                    held.heard = SystemTime::UNIX_EPOCH;
+                if let Some(replicas) = state.replicas.get_mut(&writer) {
+                    replicas.last_live = SystemTime::UNIX_EPOCH;
                 }
-                state.pass_on_orphans();
+                state.append_orphaned_replicas();
             },
-            PeersMessage::Tick => state.pass_on_orphans(),
+            PeersMessage::Tick => state.append_orphaned_replicas(),
         }
         state.calls.retain(|call| !call.is_finished());
         Ok(())
@@ -195,13 +199,13 @@
 }
 
 impl PeersState {
-    fn listed(&mut self, vms: Vec<ListedVm>) {
+    fn update_vm_list(&mut self, vms: Vec<ListedVm>) {
         let mut known = std::mem::take(&mut self.peers);
         for listed in vms.into_iter().filter(|vm| vm.id != *self.cx.shared.vm()) {
-            let kept = known.remove(&listed.id).filter(|peer| peer.listed.peer_address == listed.peer_address);
+            let unchanged = known.remove(&listed.id).filter(|peer| peer.listed.peer_address == listed.peer_address);
             let id = listed.id.clone();
-            let peer = match kept {
-                Some(peer) => peer.listed_as(listed),
+            let peer = match unchanged {
+                Some(peer) => peer.with_listed(listed),
                 None => Peer::new(listed),
             };
             self.peers.insert(id, peer);
@@ -222,30 +226,30 @@
         self.calls.push(AbortOnDropHandle::new(tokio::spawn(call)));
     }
 
-    /// Gives records to peers, first to those in other failure domains.
-    fn hold(&mut self, records: &[LedgerRecord], holder: OutboxOwner) {
+    /// Replicates records to peers, first to those in other failure domains.
+    fn replicate(&mut self, records: &[LedgerRecord], owner: OutboxOwner) {
         let copies = self.cx.shared.settings.peers.bill_copies;
         let own_domain = &self.cx.shared.settings.vm.failure_domain;
         let mut peers: Vec<Peer> = self.peers.values().filter(|peer| !peer.listed.leaving).cloned().collect();
         peers.sort_by_key(|peer| (peer.listed.failure_domain == *own_domain, peer.listed.id.clone()));
-        // Each VM begins with another peer, so that the records are spread.
-        let far = peers.iter().filter(|peer| peer.listed.failure_domain != *own_domain).count();
-        if far > 0 {
-            let start = usize::try_from(self.cx.shared.incarnation % far as u64).unwrap_or_default();
-            peers[..far].rotate_left(start);
+        // Each VM starts with a different peer, so that replicas are spread evenly.
+        let remote_count = peers.iter().filter(|peer| peer.listed.failure_domain != *own_domain).count();
+        if remote_count > 0 {
+            let start = usize::try_from(self.cx.shared.incarnation % remote_count as u64).unwrap_or_default();
+            peers[..remote_count].rotate_left(start);
         }
         let requests: Vec<RequestId> = records.iter().filter_map(LedgerRecord::request_id).cloned().collect();
         let encoded = records.iter().filter_map(|record| serde_json::to_vec(record).ok()).collect();
         let hold = PeerHold::new(self.cx.shared.incarnation.cast_signed(), encoded);
         let cx = self.cx.clone();
         self.spawn(async move {
-            if hold_at(&cx, &peers, PeerRequest::Hold(hold), copies).await {
-                holder.tell(requests);
+            if replicate_to(&cx, &peers, PeerRequest::Hold(hold), copies).await {
+                owner.notify_replicated(requests);
             }
         });
     }
 
-    fn release_at_peers(&mut self, requests: &[RequestId]) {
+    fn release_replicas(&mut self, requests: &[RequestId]) {
         let release = PeerRelease::new(self.cx.shared.incarnation.cast_signed(), requests.to_vec());
         for peer in self.peers.values().cloned().collect::<Vec<_>>() {
             let (cx, request) = (self.cx.clone(), PeerRequest::Release(release.clone()));
@@ -253,71 +257,77 @@
         }
     }
 
-    fn take(&mut self, writer: Incarnation, records: Vec<LedgerRecord>) -> bool {
-        let count: usize = self.held.values().map(|held| held.records.len()).sum();
-        if count + records.len() > MAX_HELD {
+    /// Stores replicas of records, and returns whether there was room for them.
+    fn store_replicas(&mut self, writer: Incarnation, records: Vec<LedgerRecord>) -> bool {
+        let count: usize = self.replicas.values().map(|replicas| replicas.records.len()).sum();
+        if count + records.len() > MAX_REPLICAS {
             return false;
         }
-        let heard = self.cx.shared.clock.now();
-        let held =
-            self.held.entry(writer).or_insert_with(|| HeldRecords { records: HashMap::new(), heard, taken: heard });
-        held.taken = heard;
+        let now = self.cx.shared.clock.now();
+        let replicas = self.replicas.entry(writer).or_insert_with(|| WriterReplicas {
+            records: HashMap::new(),
+            last_live: now,
+            last_stored: now,
+        });
+        replicas.last_stored = now;
         for record in records {
             if let Some(id) = record.request_id().cloned() {
-                held.records.insert(id, record);
+                replicas.records.insert(id, record);
             }
         }
         true
     }
 
-    fn release(&mut self, writer: Incarnation, requests: &[RequestId]) {
-        if let Some(held) = self.held.get_mut(&writer) {
-            requests.iter().for_each(|id| drop(held.records.remove(id)));
+    fn drop_replicas(&mut self, writer: Incarnation, requests: &[RequestId]) {
+        if let Some(replicas) = self.replicas.get_mut(&writer) {
+            requests.iter().for_each(|id| drop(replicas.records.remove(id)));
         }
     }
 
-    fn note_live(&mut self, live: &[Incarnation]) {
+    fn record_live(&mut self, live: &[Incarnation]) {
         let now = self.cx.shared.clock.now();
         for writer in live {
-            if let Some(held) = self.held.get_mut(writer) {
-                held.heard = now;
+            if let Some(replicas) = self.replicas.get_mut(writer) {
+                replicas.last_live = now;
             }
         }
     }
 
-    /// Appends what is held for a VM that is gone, or that can't reach the log for longer than we can.
+    /// Appends the replicas of a writer that is gone, or that seems unable to reach the log although this VM can.
     ///
-    /// A record that its writer, or another holder, appends too has no effect.
-    fn pass_on_orphans(&mut self) {
+    /// A duplicate, appended by the writer or by another VM with replicas, has no effect.
+    fn append_orphaned_replicas(&mut self) {
         let now = self.cx.shared.clock.now();
         if !self.cx.shared.is_log_reachable() {
-            self.log_away = Some(now);
+            self.log_unreachable_at = Some(now);
         }
-        // Who lives is told with each heartbeat, so one that two of them left out is gone.
-        let gone_after = 2 * Duration::from_millis(self.cx.shared.settings.peers.heartbeat_ms);
+        // Live incarnations are reported with each heartbeat, so one that two of them omitted is gone.
+        let live_timeout = 2 * Duration::from_millis(self.cx.shared.settings.peers.heartbeat_ms);
         let age = |at: SystemTime| now.duration_since(at).unwrap_or_default();
-        let reachable_for = self.log_away.map_or(Duration::MAX, age);
-        let due = |(writer, held): &(&Incarnation, &HeldRecords)| {
-            let patience = self.patience(**writer);
-            let is_stuck = reachable_for > patience && age(held.taken) > patience;
-            age(held.heard) > gone_after || is_stuck
+        let log_reachable_for = self.log_unreachable_at.map_or(Duration::MAX, age);
+        let is_due = |(writer, replicas): &(&Incarnation, &WriterReplicas)| {
+            let append_grace = self.append_grace(**writer);
+            let is_stuck = log_reachable_for > append_grace && age(replicas.last_stored) > append_grace;
+            age(replicas.last_live) > live_timeout || is_stuck
         };
-        let due: Vec<Incarnation> = self.held.iter().filter(due).map(|(writer, _)| *writer).collect();
+        let due: Vec<Incarnation> = self.replicas.iter().filter(is_due).map(|(writer, _)| *writer).collect();
         for writer in due {
-            let records = self.held.remove(&writer).map(|held| held.records).unwrap_or_default();
+            let records = self.replicas.remove(&writer).map(|replicas| replicas.records).unwrap_or_default();
             records.into_values().for_each(|record| ledger_client::submit_detached(&self.cx, record));
         }
     }
 
-    /// Time that a writer has to append by itself; the holders wait in turn, so that one of them does it.
-    fn patience(&self, writer: Incarnation) -> Duration {
-        /// Time in which a writer that reaches the log has appended and released what is held.
-        const FIRST: Duration = Duration::from_millis(1000);
-        /// Time from one holder to the next.
-        const STEP: Duration = Duration::from_millis(500);
+    /// Returns the time in which the writer can append the records itself.
+    ///
+    /// The time differs between the VMs with replicas, so that usually only one of them appends the records.
+    fn append_grace(&self, writer: Incarnation) -> Duration {
+        /// Time in which a writer that reaches the log appends its records and has their replicas dropped.
+        const WRITER_GRACE: Duration = Duration::from_millis(1000);
+        /// Additional time per position among the live VMs.
+        const POSITION_DELAY: Duration = Duration::from_millis(500);
         let live = self.cx.shared.live_vms();
         let rank = live.iter().position(|vm| vm == self.cx.shared.vm()).unwrap_or_default() as u64;
-        let turn = (rank + writer) % live.len().max(1) as u64;
-        FIRST + STEP * u32::try_from(turn).unwrap_or_default()
+        let position = (rank + writer) % live.len().max(1) as u64;
+        WRITER_GRACE + POSITION_DELAY * u32::try_from(position).unwrap_or_default()
     }
 }
--- a/havengrade_router/src/services/peers/server.rs
+++ b/havengrade_router/src/services/peers/server.rs
@@ -1,4 +1,4 @@
-//! Requests of other VMs, and our replies.
+//! Server for the requests of other VMs.
 
 use bytes::Bytes;
 use futures::{SinkExt as _, StreamExt as _};
@@ -13,7 +13,7 @@
 
 use super::{
     NAME, PeersMessage,
-    client::{REPLY_LIMIT, count_bytes},
+    client::{REPLY_TIMEOUT, count_bytes},
 };
 use crate::{
     kernel::Context,
@@ -26,7 +26,7 @@
     traffic::RequestStatus,
 };
 
-/// Accepts connections of other VMs.
+/// Accepts connections of other VMs and serves each in a task of its own.
 pub(super) async fn serve(cx: Context, mut listener: Box<dyn Listener>) {
     let mut connections = tokio::task::JoinSet::new();
     loop {
@@ -34,7 +34,7 @@
         match listener.accept().await {
             Ok(connection) => drop(connections.spawn(serve_peer(cx.clone(), connection))),
             Err(error) => {
-                log::warn!(service = NAME; "connection not accepted: {error}");
+                log::warn!(service = NAME; "failed to accept a peer connection: {error}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             },
         }
@@ -42,22 +42,22 @@
 }
 
 async fn serve_peer(cx: Context, connection: BoxConnection) {
-    let mut frames = framed(connection, cx.shared.settings.limits.max_frame_bytes);
-    while let Some(frame) = frames.next().await {
+    let mut stream = framed(connection, cx.shared.settings.limits.max_frame_bytes);
+    while let Some(frame) = stream.next().await {
         let request = match frame.map_err(|error| error.to_string()).and_then(|frame| {
             count_bytes(&cx, "received", frame.len());
             decode::<PeerRequest>(&frame).map_err(|error| error.to_string())
         }) {
             Ok(request) => request,
             Err(error) => {
-                log::warn!(service = NAME; "connection of a peer closed, since its message can't be read: {error}");
+                log::warn!(service = NAME; "closing a peer connection after a malformed message: {error}");
                 return;
             },
         };
         let Some(reply) = answer(&cx, request).await else { return };
         let Ok(bytes) = encode(&reply) else { return };
         count_bytes(&cx, "sent", bytes.len());
-        if frames.send(Bytes::from(bytes)).await.is_err() {
+        if stream.send(Bytes::from(bytes)).await.is_err() {
             return;
         }
     }
@@ -80,7 +80,7 @@
             reply.ok()?.success_or(()).ok().map(PeerReply::Heartbeat)
         },
         PeerRequest::Fetch(fetch) => fetch_records(cx, &fetch).await.map(PeerReply::Records),
-        PeerRequest::Hold(hold) => take_records(cx, hold).await.map(|held| PeerReply::Held(PeerHeld::new(held))),
+        PeerRequest::Hold(hold) => store_replicas(cx, hold).await.map(|stored| PeerReply::Held(PeerHeld::new(stored))),
         PeerRequest::Release(release) => {
             let PeerRelease { writer, request_ids } = release;
             let peers = cx.find::<PeersMessage>(NAME)?;
@@ -88,9 +88,9 @@
             peers.cast(message).ok()?;
             Some(PeerReply::Done(PeerDone::new()))
         },
-        PeerRequest::Ask(ask) => Some(PeerReply::Answer(ask_here(cx, &ask))),
+        PeerRequest::Ask(ask) => Some(PeerReply::Answer(look_up_request(cx, &ask))),
         PeerRequest::Drain(PeerDrain { operator_name }) => {
-            log::info!(service = NAME, operator = operator_name.as_str(); "drain asked for through a peer");
+            log::info!(service = NAME, operator = operator_name.as_str(); "drain requested through a peer");
             cx.shared.start_drain();
             Some(PeerReply::Done(PeerDone::new()))
         },
@@ -101,7 +101,7 @@
     let service = cx.find::<ConfigMessage>(config::NAME)?;
     let from = fetch.from_offset.cast_unsigned();
     let limit = usize::try_from(fetch.limit).unwrap_or_default();
-    let fetched = service.call(|reply| ConfigMessage::Fetch { from, limit, reply }, Some(REPLY_LIMIT)).await;
+    let fetched = service.call(|reply| ConfigMessage::Fetch { from, limit, reply }, Some(REPLY_TIMEOUT)).await;
     let fetched = fetched.ok()?.success_or(()).ok()?;
     let records = fetched
         .records
@@ -112,17 +112,17 @@
     Some(PeerRecords::new(records, fetched.next.cast_signed(), snapshot))
 }
 
-async fn take_records(cx: &Context, hold: PeerHold) -> Option<bool> {
+async fn store_replicas(cx: &Context, hold: PeerHold) -> Option<bool> {
     let peers = cx.find::<PeersMessage>(NAME)?;
     let parse = |bytes: &Vec<u8>| serde_json::from_slice(bytes).ok();
     let records: Option<Vec<LedgerRecord>> = hold.records.iter().map(parse).collect();
     let Some(records) = records else { return Some(false) };
     let writer = hold.writer.cast_unsigned();
-    let held = peers.call(|reply| PeersMessage::StoreReplicas { writer, records, reply }, Some(REPLY_LIMIT)).await;
-    held.ok()?.success_or(()).ok()
+    let stored = peers.call(|reply| PeersMessage::StoreReplicas { writer, records, reply }, Some(REPLY_TIMEOUT)).await;
+    stored.ok()?.success_or(()).ok()
 }
 
-fn ask_here(cx: &Context, ask: &PeerAsk) -> PeerAnswer {
+fn look_up_request(cx: &Context, ask: &PeerAsk) -> PeerAnswer {
     match cx.shared.requests.look_up(&ask.request_id, &ask.account) {
         RequestStatus::Unknown => PeerAnswer::new("unknown".to_owned(), None, None, None),
         RequestStatus::Pending => PeerAnswer::new("pending".to_owned(), None, None, None),
