--- a/havengrade_router/src/published/feed_consumers.rs
+++ b/havengrade_router/src/published/feed_consumers.rs
@@ -1,4 +1,4 @@
-//! What becomes of what is followed: configurations, orders to roll out, and the list of endpoints.
+//! Applies the events of the store's feeds: configurations, roll-out orders, emptied failure domains and endpoints.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -24,24 +24,24 @@
     rollouts,
 };
 
-/// Takes what a feed brings.
+/// Applies the events of a feed to the state of the VM.
 pub(super) trait FeedConsumer<T>: Send + Sync + 'static {
-    /// How long a call of a reader may wait for something new.
+    /// Maximum time that a reader's long poll waits for new events.
     fn read_wait(&self, cx: &PublishedContext) -> Duration;
 
-    /// Time between two calls of a reader.
+    /// Time between two reads of a reader.
     fn read_interval(&self, cx: &PublishedContext) -> Duration;
 
-    /// Whether what is read grows with the fleet, so that the store can't bear that each VM reads it.
+    /// Whether the feed's size grows with the fleet, so that the store would be overloaded if every VM read it.
     fn grows_with_fleet(&self) -> bool {
         false
     }
 
-    /// Takes events, up to a position; nothing newer existed at `at`.
+    /// Applies the events up to a position, which was the newest one at `at`.
     fn apply(&mut self, cx: &PublishedContext, events: Vec<T>, position: u64, at: SystemTime);
 }
 
-/// Takes operators' configurations and orders.
+/// Applies operators' configurations, roll-out orders and changes to the emptied failure domains.
 pub(super) struct OperatorConsumer;
 
 impl FeedConsumer<OperatorEvent> for OperatorConsumer {
@@ -63,7 +63,7 @@
                 OperatorEvent::Domains(event) => apply_domains(cx, event),
             }
         }
-        // Last, since callers are let in once there is a configuration.
+        // Last, since the VM accepts callers as soon as it has a configuration.
         for publication in publications {
             activate(cx, publication);
         }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Takes up an order to roll out a version.
+/// Adds an order to roll out a version.
 fn apply_order(cx: &PublishedContext, order: RolloutOrder, is_from_before_start: bool) {
     let line = format!("{} to {}", order.service, order.version);
     if cx.shared.rollouts().add_order(order, cx.shared.clock.now()) {
@@ -88,20 +88,20 @@
     }
 }
 
-/// Takes which failure domains are emptied, and which are taken back.
+/// Updates the set of emptied failure domains.
 fn apply_domains(cx: &PublishedContext, event: DomainEvent) {
     let mut domains = EmptiedDomains::clone(&cx.shared.emptied_domains.load());
     let (emptied, refilled) = domains.apply(event, cx.shared.clock.now());
     cx.shared.emptied_domains.store(Arc::new(domains));
     for domain in emptied {
-        log::info!(domain = domain.as_str(); "failure domain is emptied: its endpoints get nothing");
+        log::info!(domain = domain.as_str(); "failure domain is emptied: its endpoints receive no requests");
     }
     for domain in refilled {
         log::info!(domain = domain.as_str(); "failure domain is taken back: its endpoints may be cold");
     }
 }
 
-/// Puts a configuration in force, unless a newer one is.
+/// Activates a configuration, unless the active one is at least as new.
 fn activate(cx: &PublishedContext, publication: Publication) {
     let known = cx.shared.routes.load().version();
     if publication.version <= known {
@@ -113,7 +113,9 @@
     cx.shared.set_routes(RouteTable::new(publication));
 }
 
-/// Takes changes of the list of endpoints; of a large service only a part is shown to traffic and told to other VMs.
+/// Applies changes to the endpoint list.
+///
+/// Of a large service, only a subset is used for traffic and sent to other VMs.
 #[derive(Default)]
 pub(super) struct EndpointConsumer {
     directory: Directory,
@@ -122,7 +124,7 @@
 
 impl FeedConsumer<DirectoryEvent> for EndpointConsumer {
     fn read_wait(&self, _cx: &PublishedContext) -> Duration {
-        // Endpoints write all the time, so that a call would hardly wait; calls are paused in between instead.
+        // Endpoints write all the time, so a long poll would return at once; reads are spaced by an interval instead.
         Duration::ZERO
     }
 
@@ -136,10 +138,10 @@
 
     fn apply(&mut self, cx: &PublishedContext, events: Vec<DirectoryEvent>, position: u64, at: SystemTime) {
         let now = cx.shared.clock.now();
-        let gone = self.removed_in_use(&events);
+        let removed = self.removed_in_use(&events);
         let (changes, has_changed) = self.directory.apply(events, at, now);
         let is_resized = has_changed && self.resize(cx);
-        let changes = self.changes_in_use(changes, &gone, is_resized, now);
+        let changes = self.changes_in_use(changes, &removed, is_resized, now);
         {
             let mut view = cx.shared.store.view();
             if !changes.is_empty() || has_changed {
@@ -163,7 +165,7 @@
 }
 
 impl EndpointConsumer {
-    /// Chooses anew how much of the list is used; tells whether that changes.
+    /// Adjusts the size of the subset to the fleet; returns whether it changed.
     fn resize(&mut self, cx: &PublishedContext) -> bool {
         let next = self.subset.resized(self.directory.all(), cx.shared.peers().len() + 1);
         let is_resized = next != self.subset;
@@ -174,20 +176,20 @@
         is_resized
     }
 
-    /// Endpoints that go by these events, of those that are used.
+    /// The endpoints of the subset that these events remove.
     fn removed_in_use(&self, events: &[DirectoryEvent]) -> HashSet<EndpointId> {
-        let gone = events.iter().filter_map(|event| match event {
+        let removed = events.iter().filter_map(|event| match event {
             DirectoryEvent::Gone(id) => self.directory.get(id),
             DirectoryEvent::Seen(_) | DirectoryEvent::All(_) | DirectoryEvent::Restored(_) => None,
         });
-        gone.filter(|endpoint| self.subset.includes(endpoint)).map(|endpoint| endpoint.id.clone()).collect()
+        removed.filter(|endpoint| self.subset.includes(endpoint)).map(|endpoint| endpoint.id.clone()).collect()
     }
 
-    /// What others are told of changes: of those that are used, or the whole list of these where others are used from now on.
+    /// The changes that other VMs receive: those within the subset, or the whole subset after it was resized.
     fn changes_in_use(
         &self,
         changes: Vec<DirectoryEvent>,
-        gone: &HashSet<EndpointId>,
+        removed: &HashSet<EndpointId>,
         is_resized: bool,
         now: SystemTime,
     ) -> Vec<DirectoryEvent> {
@@ -201,13 +203,13 @@
         }
         let is_used = |event: &DirectoryEvent| match event {
             DirectoryEvent::Seen(endpoint) => self.subset.includes(endpoint),
-            DirectoryEvent::Gone(id) => gone.contains(id),
+            DirectoryEvent::Gone(id) => removed.contains(id),
             DirectoryEvent::All(_) | DirectoryEvent::Restored(_) => true,
         };
         changes.into_iter().filter(is_used).collect()
     }
 
-    /// Shows the endpoints that are used to traffic.
+    /// Publishes the usable endpoints of the subset to traffic.
     fn publish_usable(&self, cx: &PublishedContext) {
         let now = cx.shared.clock.now();
         cx.shared.send_limits().cold.set(self.directory.cold(now));
@@ -225,15 +227,17 @@
     }
 }
 
-/// Tells how much of the list is used, where this VM knows more; one that was told a part uses all of that.
+/// Logs the size of the subset if it is smaller than the list.
+///
+/// A VM that received only a subset from another VM uses all of it.
 fn log_subset(directory: &Directory, subset: &EndpointSubset) {
     let used = directory.all().filter(|endpoint| subset.includes(endpoint)).count();
     if used < directory.len() {
-        log::info!(listed = directory.len(), used = used; "another part of the list of endpoints is used");
+        log::info!(listed = directory.len(), used = used; "subset of the endpoint list resized");
     }
 }
 
-/// Endpoints that one line names: a line for all of a large fleet would be as long as its list.
+/// Maximum number of endpoints that one log line names: for a large fleet, the line would be as long as the list.
 const MAX_LOGGED_ENDPOINTS: usize = 64;
 
 fn log_changes(before: &EndpointsByService, after: &EndpointsByService) {
@@ -248,7 +252,7 @@
     );
 }
 
-/// Endpoints of `other` that are missing in `known`: the names of some, and how many more there are.
+/// The endpoints of `other` that are missing in `known`: the names of the first ones, and the number of the rest.
 fn endpoints_missing_in(known: &EndpointsByService, other: &EndpointsByService) -> (String, usize) {
     let known: HashSet<&str> = known.values().flatten().map(|endpoint| endpoint.id.as_str()).collect();
     let missing: Vec<&ListedEndpoint> =
--- a/havengrade_router/src/published/feed_reader.rs
+++ b/havengrade_router/src/published/feed_reader.rs
@@ -1,7 +1,7 @@
-//! The services that follow what operators write and which endpoints are listed.
+//! The services that follow the feeds of the store: operators' events and the endpoint list.
 //!
-//! A VM that reads for others asks the store all the time. The others take what the readers tell them, and
-//! ask the store themselves where they miss something or hear nothing.
+//! Readers poll the store continuously. The other VMs apply the events that the readers relay, and read the store
+//! themselves if they miss events or get no answer.
 
 use std::{
     sync::Mutex,
@@ -28,47 +28,47 @@
     shared::lock,
 };
 
-/// Name of the service that follows operators.
+/// Name of the service that follows operators' events.
 pub const OPERATOR_FEED: &str = "published-operators";
-/// Name of the service that follows the list of endpoints.
+/// Name of the service that follows the endpoint list.
 pub const ENDPOINT_FEED: &str = "published-endpoints";
 
-/// Time between two looks at whether the store must be asked.
+/// Time between two checks whether the store must be read.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// First pause after a store that did not answer; each further one is twice as long.
+/// Pause after the first failed read; each further failure doubles it.
 const INITIAL_RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Longest pause of a VM that reads for others.
+/// Longest pause of a reader after a failed read.
 const MAX_READER_RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause of a VM that others read for, while they don't answer.
+/// Longest pause of any other VM after a failed read.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1500);
-/// Part of a pause by which VMs are spread that last_pause the store at the same time.
+/// Share of a pause that is added at random, to spread the retries of VMs that lost the store at the same time.
 const RETRY_JITTER: f64 = 0.25;
 
-/// What a service is told.
+/// Message to a feed's service.
 pub(super) enum FeedMessage<T> {
-    /// Time to look whether the store must be asked.
+    /// Check whether the store must be read.
     Poll,
-    /// The store has something new.
+    /// The store has new events: read it at the next check, without a long poll.
     RequestRead,
     /// The store may be read from now on.
     StartReading,
-    /// What another VM read, up to a position; it was the newest at a time.
+    /// Another VM relayed events that it read from the store.
     Relayed(RelayedEvents<T>),
 }
 
-/// What another VM read from the store.
+/// Events that another VM read from the store.
 pub(super) struct RelayedEvents<T> {
     /// Events since `from`.
     pub(super) events: Vec<T>,
-    /// Position that was asked about; none where the events are the newest of everything.
+    /// Position after which the events begin; none if they replace everything before them.
     pub(super) from: Option<u64>,
     /// Position after the events.
     pub(super) position: u64,
-    /// When nothing newer existed.
+    /// Time at which `position` was the newest position.
     pub(super) at: SystemTime,
 }
 
-/// Lets the services read the store, at once where nobody told what is in force.
+/// Allows the services to read the store; they do so at once if no other VM has given them the active state.
 pub(super) fn start_reading(cx: &PublishedContext) {
     if !cx.shared.store.allow_reads() {
         return;
@@ -81,19 +81,19 @@
     }
 }
 
-/// The service of a name that follows the store.
+/// The service of the feed with this name.
 pub(super) fn find_service<T: Send + 'static>(cx: &PublishedContext, name: &str) -> Option<ActorRef<FeedMessage<T>>> {
     ractor::registry::where_is(cx.actor_name(name)).map(ActorRef::from)
 }
 
-/// Sends a message to a service that follows the store.
+/// Sends a message to the service of a feed.
 pub(super) fn send<T: Send + 'static>(service: &ActorRef<FeedMessage<T>>, message: FeedMessage<T>) {
     if let Err(error) = service.cast(message) {
-        log::debug!("a service that follows the store is gone: {error}");
+        log::debug!("message not sent, the service of a store feed has stopped: {error}");
     }
 }
 
-/// A feed, and what takes its events.
+/// A feed and the consumer of its events.
 type FeedParts<T> = (Box<dyn Feed<T>>, Box<dyn FeedConsumer<T>>);
 
 /// A service that follows a feed.
@@ -103,14 +103,14 @@
 }
 
 impl FeedService<OperatorEvent> {
-    /// The service that follows operators.
+    /// The service that follows operators' events.
     pub(super) fn operators(feed: Box<dyn Feed<OperatorEvent>>) -> Self {
         Self { name: OPERATOR_FEED, parts: Mutex::new(Some((feed, Box::new(OperatorConsumer)))) }
     }
 }
 
 impl FeedService<DirectoryEvent> {
-    /// The service that follows the list of endpoints.
+    /// The service that follows the endpoint list.
     pub(super) fn endpoints(feed: Box<dyn Feed<DirectoryEvent>>) -> Self {
         Self { name: ENDPOINT_FEED, parts: Mutex::new(Some((feed, Box::new(EndpointConsumer::default())))) }
     }
@@ -146,10 +146,12 @@
     name: &'static str,
     feed: Box<dyn Feed<T>>,
     consumer: Box<dyn FeedConsumer<T>>,
-    /// The pause after the last failure, while the store does not answer.
+    /// The pause after the last failed read; none while the store answers.
     last_pause: Option<Duration>,
     freshness: Freshness,
+    /// Whether another VM reported new events.
     is_read_requested: bool,
+    /// Earliest time of the next read.
     not_before: Instant,
 }
 
@@ -188,7 +190,7 @@
                 let pause = state.poll_delay();
                 tokio::spawn(async move {
                     sleep(pause).await;
-                    // Where the service is gone there is nothing more to look at.
+                    // Fails only if the service has stopped.
                     let _ = myself.cast(FeedMessage::Poll);
                 });
             },
@@ -199,8 +201,8 @@
 
 impl<T: 'static> FeedReader<T> {
     fn must_read(&self) -> bool {
-        let at = Instant::now();
-        if !self.cx.shared.store.may_read() || at < self.not_before || self.cx.shared.store.is_paused(at) {
+        let now = Instant::now();
+        if !self.cx.shared.store.may_read() || now < self.not_before || self.cx.shared.store.is_paused(now) {
             return false;
         }
         self.cx.shared.store.is_reader()
@@ -208,9 +210,9 @@
                 && self.may_read_as_non_reader())
     }
 
-    /// Whether this VM reads the store at this look although others read it for all.
+    /// Whether this VM may read the store at this check although it is no reader.
     ///
-    /// One that knows nothing yet reads in its turn of the start.
+    /// A VM without state always may: its startup decides when reads begin.
     fn may_read_as_non_reader(&self) -> bool {
         if !self.consumer.grows_with_fleet() || !self.cx.shared.knows_state() {
             return true;
@@ -220,23 +222,23 @@
     }
 
     fn is_view_stale(&self, now: SystemTime) -> bool {
-        // Where a VM stands is worked out only where it matters.
+        // Checked first, since the position among the VMs of the failure domain is costly to compute.
         self.freshness.must_read_store(0, now) && self.freshness.must_read_store(own_turn_position(&self.cx), now)
     }
 
-    /// Time until the next look.
+    /// Time until the next check.
     fn poll_delay(&self) -> Duration {
-        let is_reading =
+        let reads_continuously =
             self.cx.shared.store.may_read() && self.cx.shared.store.is_reader() && self.last_pause.is_none();
-        if is_reading { self.consumer.read_interval(&self.cx) } else { POLL_INTERVAL }
+        if reads_continuously { self.consumer.read_interval(&self.cx) } else { POLL_INTERVAL }
     }
 
     async fn read(&mut self) {
-        let asked = self.cx.shared.clock.now();
+        let asked_at = self.cx.shared.clock.now();
         if !self.cx.shared.knows_state() {
-            self.cx.shared.store.start_initial_read(asked);
+            self.cx.shared.store.start_initial_read(asked_at);
         }
-        // After a loss the first answer must come at once: it says what is in force now.
+        // After a failure the first read must return at once, since it tells what is active now.
         let may_wait = self.last_pause.is_none() && self.cx.shared.store.is_reader() && !self.is_read_requested;
         let wait = if may_wait { self.consumer.read_wait(&self.cx) } else { Duration::ZERO };
         match self.feed.next(wait).await {
@@ -246,8 +248,8 @@
                 }
                 self.cx.shared.store.set_paused_until(None);
                 self.is_read_requested = false;
-                // What may be missing does not make the view any newer.
-                let at = self.feed.confirmed_at(asked).unwrap_or(self.freshness.confirmed);
+                // An answer that may lack events does not confirm that the view is up to date.
+                let at = self.feed.confirmed_at(asked_at).unwrap_or(self.freshness.confirmed);
                 if self.freshness.is_store_unreachable_for_peers(self.cx.shared.clock.now())
                     && !self.cx.shared.store.is_reader()
                 {
@@ -270,31 +272,31 @@
         let pause = self.retry_pause(self.last_pause);
         self.last_pause = Some(pause);
         self.not_before = Instant::now() + pause;
-        // All feeds read one store, so that what one of them finds holds for the others, until one is answered.
+        // All feeds read the same store, so a failure of one pauses the others too, until a read succeeds.
         self.cx.shared.store.set_paused_until(Some(self.not_before));
     }
 
-    /// Time for which the store is left alone after it did not answer; `last` is the time before that.
+    /// Pause after a failed read; `last` is the pause after the failure before it.
     fn retry_pause(&self, last: Option<Duration>) -> Duration {
         if !self.cx.shared.knows_routes() {
-            let waited = self.cx.shared.uptime(self.cx.shared.clock.now());
-            return retry_delay(waited, &mut *self.cx.shared.rng());
+            let uptime = self.cx.shared.uptime(self.cx.shared.clock.now());
+            return retry_delay(uptime, &mut *self.cx.shared.rng());
         }
         if self.freshness.is_store_unreachable_for_peers(self.cx.shared.clock.now())
             && !self.cx.shared.store.is_reader()
         {
             return turn_delay(other_vms_in_domain(&self.cx) + 1).max(MAX_RETRY_PAUSE);
         }
-        let longest = if self.cx.shared.store.is_reader() { MAX_READER_RETRY_PAUSE } else { MAX_RETRY_PAUSE };
-        let spread = 1.0 + RETRY_JITTER * self.cx.shared.rng().random::<f64>();
-        last.map_or(INITIAL_RETRY_PAUSE, |pause| (pause * 2).min(longest)).mul_f64(spread)
+        let max_pause = if self.cx.shared.store.is_reader() { MAX_READER_RETRY_PAUSE } else { MAX_RETRY_PAUSE };
+        let jitter = 1.0 + RETRY_JITTER * self.cx.shared.rng().random::<f64>();
+        last.map_or(INITIAL_RETRY_PAUSE, |pause| (pause * 2).min(max_pause)).mul_f64(jitter)
     }
 
-    /// Takes what another VM read, if it begins where this VM's view ends.
+    /// Applies events that another VM read, if they begin at the position of this VM.
     fn apply_relayed(&mut self, relayed: RelayedEvents<T>) {
         let known = self.feed.position();
-        let follows = relayed.from.is_none() || known == relayed.from;
-        if !follows || known.is_some_and(|known| relayed.position < known) {
+        let is_contiguous = relayed.from.is_none() || known == relayed.from;
+        if !is_contiguous || known.is_some_and(|known| relayed.position < known) {
             return;
         }
         self.is_read_requested &= relayed.from.is_some();
@@ -304,15 +306,15 @@
     }
 }
 
-/// VMs of the own failure domain that try the store before this one, where others don't reach it.
+/// The number of VMs of the own failure domain whose turn to try the store comes before that of this VM.
 fn own_turn_position(cx: &PublishedContext) -> usize {
     let vm = &cx.shared.settings.vm;
     let peers = cx.shared.peers();
-    let near = peers.all().filter(|peer| peer.failure_domain == vm.failure_domain);
-    turn_position(near.map(|peer| &peer.vm), &vm.id)
+    let same_domain = peers.all().filter(|peer| peer.failure_domain == vm.failure_domain);
+    turn_position(same_domain.map(|peer| &peer.vm), &vm.id)
 }
 
-/// How many other VMs stand in the own failure domain.
+/// The number of other VMs in the own failure domain.
 fn other_vms_in_domain(cx: &PublishedContext) -> usize {
     let domain = &cx.shared.settings.vm.failure_domain;
     cx.shared.peers().all().filter(|peer| peer.failure_domain == *domain).count()
--- a/havengrade_router/src/published/state_fetch.rs
+++ b/havengrade_router/src/published/state_fetch.rs
@@ -1,4 +1,4 @@
-//! Taking what is in force from another VM.
+//! Fetches the active state from another VM.
 
 use std::{
     io,
@@ -38,59 +38,59 @@
     shared::lock,
 };
 
-/// Largest deflated text of a part, in bytes: what 12,000 endpoints need, eight times over.
+/// Largest compressed part, in bytes: eight times what 12,000 endpoints need.
 const MAX_PART_BYTES: u64 = 4 << 20;
-/// Time in which a connection to another VM is up; a VM without power never answers.
+/// Time limit for a connection to another VM; a VM that has lost power never answers.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// VMs that name another one in turn, at most.
+/// Largest number of redirects from one VM to another.
 const MAX_REDIRECTS: usize = 6;
-/// Time between two of a VM's takings, so that a storm of changes is fetched in few of them.
+/// Minimum time between two fetches of a VM, so that a burst of changes takes only a few.
 const FETCH_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Why another VM did not hand on what is in force.
+/// Why the state could not be fetched from another VM.
 #[derive(Debug, Snafu)]
 pub(super) enum FetchError {
-    #[snafu(display("no connection: {source}"))]
+    #[snafu(display("connection failed: {source}"))]
     Connect { source: io::Error },
-    #[snafu(display("it ended the connection"))]
+    #[snafu(display("the VM closed the connection"))]
     Closed,
     #[snafu(display("the connection broke: {source}"))]
     Broken { source: io::Error },
-    #[snafu(display("its message can't be read: {source}"))]
+    #[snafu(display("message can't be encoded or decoded: {source}"))]
     Message { source: RpcError },
-    #[snafu(display("it names an address that can't be read: {address}"))]
+    #[snafu(display("redirect to an invalid address: {address}"))]
     Address { address: String },
-    #[snafu(display("its text of {bytes} bytes is too long"))]
+    #[snafu(display("part of {bytes} bytes is too large"))]
     TooLong { bytes: u64 },
-    #[snafu(display("its text can't be read: {source}"))]
+    #[snafu(display("part can't be decoded: {source}"))]
     Part { source: serde_json::Error },
-    #[snafu(display("it knows nothing yet"))]
+    #[snafu(display("the VM does not have the state yet"))]
     Unavailable,
-    #[snafu(display("it knows less than was reported"))]
+    #[snafu(display("the VM's state is older than requested"))]
     Outdated,
-    #[snafu(display("it took too long"))]
+    #[snafu(display("timed out"))]
     Timeout,
-    #[snafu(display("too many VMs named another one"))]
+    #[snafu(display("too many redirects"))]
     TooManyRedirects,
 }
 
-/// What is asked_at for.
+/// The part of the state to fetch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FetchTarget {
-    /// What operators wrote, up to a position at least, and whatever else is newer.
+    /// Operators' events up to at least this position, and all other parts that are newer.
     Operators(u64),
-    /// The list of endpoints, up to a position at least, and whatever else is newer.
+    /// The endpoint list up to at least this position, and all other parts that are newer.
     Endpoints(u64),
-    /// Everything, and the list of VMs.
+    /// All parts, with the list of VMs.
     Everything,
-    /// The list of VMs only.
+    /// Only the list of VMs.
     Vms,
 }
 
-/// What a VM reported of while other news were fetched.
+/// The next fetch, requested while another one is in progress, and the VM to ask.
 pub(super) type PendingFetch = Option<(SocketAddr, FetchTarget)>;
 
-/// Takes what a VM reported of from it or another one that knows it, or else from the store.
+/// Fetches an update from the VM that reported it or from another one, or else from the store.
 pub(super) fn fetch_update(cx: &PublishedContext, from: SocketAddr, target: FetchTarget) {
     if cx.shared.is_receiving_state.swap(true, Ordering::AcqRel) {
         return queue_fetch(cx, from, target);
@@ -101,24 +101,26 @@
         while let Some((from, target)) = next {
             fetch_from_any(&cx, from, target).await;
             sleep(FETCH_INTERVAL).await;
-            let reported = lock(&cx.shared.pending_fetch).take();
-            next = reported.filter(|(_, target)| is_outstanding(&cx, *target));
+            let queued = lock(&cx.shared.pending_fetch).take();
+            next = queued.filter(|(_, target)| is_outstanding(&cx, *target));
         }
-        // What is reported in this moment, the next answer of a reader tells again.
+        // An update reported right now is lost here, but the next answer of a reader reports it again.
         cx.shared.is_receiving_state.store(false, Ordering::Release);
     });
 }
 
-/// Remembers what is reported while other news are fetched; an operator's change goes before the list of endpoints, which is fetched with it.
+/// Queues a fetch while another one is in progress.
+///
+/// A fetch of operators' events takes precedence over one of the endpoint list, which it includes.
 fn queue_fetch(cx: &PublishedContext, from: SocketAddr, target: FetchTarget) {
-    let mut reported = lock(&cx.shared.pending_fetch);
-    let has_priority = matches!((*reported, target), (Some((_, FetchTarget::Operators(_))), FetchTarget::Endpoints(_)));
-    if !has_priority {
-        *reported = Some((from, target));
+    let mut queued = lock(&cx.shared.pending_fetch);
+    let keeps_queued = matches!((*queued, target), (Some((_, FetchTarget::Operators(_))), FetchTarget::Endpoints(_)));
+    if !keeps_queued {
+        *queued = Some((from, target));
     }
 }
 
-/// Whether what was reported of is not known yet.
+/// Whether this VM still lacks the target of a fetch.
 fn is_outstanding(cx: &PublishedContext, target: FetchTarget) -> bool {
     let view = cx.shared.store.view();
     match target {
@@ -128,10 +130,10 @@
     }
 }
 
-/// Takes news from the VM that reported of them, or another one, or has the store read.
+/// Fetches an update from the VM that reported it or from a random one; if both fail, requests a read of the store.
 ///
-/// In a large fleet many ask at the same moment, and another one hardly knows more; so they ask again before they read the store, which
-/// can't bear them all.
+/// In a large fleet many VMs ask at the same time, and a random one rarely has the update yet. So a VM asks for several
+/// rounds before it reads the store, which can't serve the whole fleet at once.
 async fn fetch_from_any(cx: &PublishedContext, from: SocketAddr, target: FetchTarget) {
     let rounds = peer_rounds_before_read(cx.shared.peers().len());
     for _ in 0..rounds {
@@ -150,12 +152,12 @@
     let Some(from) = from else { return false };
     let fetched = fetch(cx, from, target).await;
     if let Err(error) = &fetched {
-        log::info!(from = from.to_string().as_str(); "another VM did not tell what is new: {error}");
+        log::info!(from = from.to_string().as_str(); "update not fetched from another VM: {error}");
     }
     fetched.is_ok()
 }
 
-/// Makes the service read the store.
+/// Requests that the feed's service reads the store.
 fn request_read(cx: &PublishedContext, target: FetchTarget) {
     match target {
         FetchTarget::Endpoints(_) => send_to_feed::<DirectoryEvent>(cx, ENDPOINT_FEED, FeedMessage::RequestRead),
@@ -165,11 +167,11 @@
     }
 }
 
-/// Takes what is target from a VM, or from those that it names, and hands it to the services that follow the store.
+/// Fetches the target from a VM, or from the one that it redirects to, and applies it.
 pub(super) async fn fetch(cx: &PublishedContext, from: SocketAddr, target: FetchTarget) -> Result<(), FetchError> {
     let mut from = from;
     for _ in 0..MAX_REDIRECTS {
-        match ask(cx, from, target).await? {
+        match request_state(cx, from, target).await? {
             FetchAnswer::Redirect(other) => from = other,
             FetchAnswer::State(fetched) => return apply_fetched(cx, fetched, target),
         }
@@ -177,13 +179,13 @@
     TooManyRedirectsSnafu.fail()
 }
 
-/// What a VM answered.
+/// The answer of a VM.
 enum FetchAnswer {
     Redirect(SocketAddr),
     State(Box<FetchedState>),
 }
 
-/// What was fetched, and when it was asked_at for.
+/// The fetched state, with its query and the time at which that was sent.
 struct FetchedState {
     asked_at: SystemTime,
     query: StateQuestion,
@@ -193,9 +195,13 @@
     vms: Option<VmsPart>,
 }
 
-async fn ask(cx: &PublishedContext, from: SocketAddr, target: FetchTarget) -> Result<FetchAnswer, FetchError> {
+async fn request_state(
+    cx: &PublishedContext,
+    from: SocketAddr,
+    target: FetchTarget,
+) -> Result<FetchAnswer, FetchError> {
     let asked_at = cx.shared.clock.now();
-    let query = query(cx, target);
+    let query = build_query(cx, target);
     let connected = timeout(CONNECT_TIMEOUT, cx.network.connect(from)).await;
     let mut frames = framed(connected.ok().context(TimeoutSnafu)?.context(ConnectSnafu)?, MAX_FRAME_BYTES);
     let bytes = havengrade_rpc::encode(&query).context(MessageSnafu)?;
@@ -211,7 +217,7 @@
     Ok(FetchAnswer::State(Box::new(FetchedState { asked_at, query, head, operators, endpoints, vms })))
 }
 
-fn query(cx: &PublishedContext, target: FetchTarget) -> StateQuestion {
+fn build_query(cx: &PublishedContext, target: FetchTarget) -> StateQuestion {
     let (operators, endpoints) = {
         let view = cx.shared.store.view();
         (view.operators_position, cx.shared.knows_endpoints().then(|| view.endpoint_changes.position()))
@@ -227,7 +233,7 @@
     frame.context(ClosedSnafu)?.context(BrokenSnafu)
 }
 
-/// Reads the text of a part; none where the part has nothing newer.
+/// Reads a part; none if it has nothing new.
 async fn read_part<T: DeserializeOwned>(
     frames: &mut FramedStream<BoxConnection>,
     part: Option<&StatePart>,
@@ -237,14 +243,14 @@
         return Ok(None);
     }
     ensure!(bytes <= MAX_PART_BYTES, TooLongSnafu { bytes });
-    let mut text = BytesMut::new();
-    while (text.len() as u64) < bytes {
-        text.unsplit(next_frame(frames).await?);
+    let mut part = BytesMut::new();
+    while (part.len() as u64) < bytes {
+        part.unsplit(next_frame(frames).await?);
     }
-    inflate_json(&text).map(Some).context(PartSnafu)
+    inflate_json(&part).map(Some).context(PartSnafu)
 }
 
-/// Hands what was fetched to the services that follow the store.
+/// Applies the fetched state and relays its events to the feeds' services.
 fn apply_fetched(cx: &PublishedContext, fetched: Box<FetchedState>, target: FetchTarget) -> Result<(), FetchError> {
     let FetchedState { asked_at, query, head, operators, endpoints, vms } = *fetched;
     let has_vms = vms.is_some();
@@ -263,12 +269,12 @@
     let (Some(operators_part), Some(endpoints_part)) = (head.operators, head.endpoints) else {
         return UnavailableSnafu.fail();
     };
-    let is_old = match target {
-        FetchTarget::Operators(least) => from_i64(operators_part.position) < least,
-        FetchTarget::Endpoints(least) => from_i64(endpoints_part.position) < least,
+    let is_outdated = match target {
+        FetchTarget::Operators(minimum) => from_i64(operators_part.position) < minimum,
+        FetchTarget::Endpoints(minimum) => from_i64(endpoints_part.position) < minimum,
         FetchTarget::Everything | FetchTarget::Vms => false,
     };
-    // Before the orders, so that one that has ended is not fetched up again.
+    // Before the orders, so that a finished roll-out is not started again.
     if let Some(rollouts) = head.rollouts {
         let reported = rollouts.into_iter().filter_map(|state| {
             let baseline = decode_baseline(&state);
@@ -286,20 +292,20 @@
         };
         announce_changes(cx, &changes);
     }
-    // Before the list of endpoints, so that nothing is sent where it is known not to be target.
+    // Before the endpoint list, so that endpoints known to reject requests get none.
     merge_reported_signals(cx, decode_signals(head.signals.unwrap_or_default()), cx.shared.clock.now());
-    let endpoints_known = query.endpoints_position.map(from_i64);
+    let known_endpoints_position = query.endpoints_position.map(from_i64);
     let is_list =
         endpoints.iter().flatten().any(|event| !matches!(event, DirectoryEvent::Seen(_) | DirectoryEvent::Gone(_)));
     let events = endpoints.unwrap_or_default();
-    let from = endpoints_known.filter(|_| !is_list);
-    send_to_feed(cx, ENDPOINT_FEED, FeedMessage::Relayed(relayed(&endpoints_part, events, from, asked_at)));
-    let is_news = operators.is_some();
+    let from = known_endpoints_position.filter(|_| !is_list);
+    send_to_feed(cx, ENDPOINT_FEED, FeedMessage::Relayed(relayed_events(&endpoints_part, events, from, asked_at)));
+    let has_operators = operators.is_some();
     let events = operators.map(operator_events).unwrap_or_default();
-    let from = query.operators_position.map(from_i64).filter(|_| !is_news);
-    send_to_feed(cx, OPERATOR_FEED, FeedMessage::Relayed(relayed(&operators_part, events, from, asked_at)));
-    // What it knows is fetched all the same, as far as it is news.
-    ensure!(!is_old, OutdatedSnafu);
+    let from = query.operators_position.map(from_i64).filter(|_| !has_operators);
+    send_to_feed(cx, OPERATOR_FEED, FeedMessage::Relayed(relayed_events(&operators_part, events, from, asked_at)));
+    // An older state is applied all the same, as far as it is new to this VM.
+    ensure!(!is_outdated, OutdatedSnafu);
     Ok(())
 }
 
@@ -309,7 +315,7 @@
     orders.chain([domains, OperatorEvent::Publication(part.publication)]).collect()
 }
 
-fn relayed<T>(part: &StatePart, events: Vec<T>, from: Option<u64>, asked_at: SystemTime) -> RelayedEvents<T> {
+fn relayed_events<T>(part: &StatePart, events: Vec<T>, from: Option<u64>, asked_at: SystemTime) -> RelayedEvents<T> {
     let at = confirmed_at(asked_at, Duration::from_millis(from_i64(part.age_ms)));
     RelayedEvents { events, from, position: from_i64(part.position), at }
 }
--- a/havengrade_router/src/published/state_parts.rs
+++ b/havengrade_router/src/published/state_parts.rs
@@ -17,7 +17,7 @@
     shared::lock,
 };
 
-/// Largest text of a part get_or_encode it is inflated, in bytes: thirty times the store's largest record, or 40,000 endpoints.
+/// Largest text of a part once it is inflated, in bytes: thirty times the store's largest record, or 40,000 endpoints.
 const MAX_INFLATED: u64 = 8 << 20;
 
 /// What operators wrote: the configuration in force, the orders to roll out, and the emptied failure domains.
--- a/havengrade_router/src/published/state_server.rs
+++ b/havengrade_router/src/published/state_server.rs
@@ -1,4 +1,4 @@
-//! Handing what is in force on to VMs that ask for it.
+//! Serves the active state to VMs that ask for it.
 
 use std::{
     io,
@@ -30,32 +30,32 @@
 
 /// Largest frame, in bytes.
 pub(super) const MAX_FRAME_BYTES: usize = 16 << 10;
-/// Time for which one frame is waited for: at least 330 kbit/s, a sixtieth of the smallest link that was seen.
+/// Time limit for one frame: it demands 330 kbit/s, a sixtieth of the rate of the slowest known link.
 pub(super) const FRAME_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time for which a VM waits for others to be served; less than it waits for the first frame.
+/// Maximum time for which a VM waits until others are served; less than its own timeout for the first frame.
 const MAX_WAIT: Duration = Duration::from_millis(300);
-/// Time between two looks whether others were served: a fraction of the time in which one is.
+/// Time between two checks whether others have been served: a fraction of the duration of one transfer.
 const WAIT_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a VM was not handed what it asked for.
+/// Why the state was not sent to a VM that asked for it.
 #[derive(Debug, Snafu)]
 enum ServeError {
-    #[snafu(display("it left"))]
+    #[snafu(display("the VM closed the connection"))]
     Closed,
-    #[snafu(display("others were served all the time"))]
+    #[snafu(display("busy with transfers to other VMs"))]
     Busy,
-    #[snafu(display("it took too long"))]
+    #[snafu(display("timed out"))]
     Timeout,
     #[snafu(display("the connection broke: {source}"))]
     Broken { source: io::Error },
-    #[snafu(display("a message can't be read or written: {source}"))]
+    #[snafu(display("message can't be encoded or decoded: {source}"))]
     Message { source: RpcError },
-    #[snafu(display("a part can't be written: {source}"))]
+    #[snafu(display("part can't be encoded: {source}"))]
     Part { source: io::Error },
 }
 
-/// Hands what is in force on to each VM that connects.
+/// Serves the active state to each VM that connects.
 pub(super) async fn serve_state(cx: PublishedContext, mut listener: Box<dyn Listener>) {
     loop {
         match listener.accept().await {
@@ -74,7 +74,7 @@
 
 async fn serve_connection(cx: PublishedContext, connection: BoxConnection) {
     if let Err(error) = serve_request(&cx, connection).await {
-        log::info!("another VM was not handed what is in force: {error}");
+        log::info!("state not sent to another VM: {error}");
     }
 }
 
@@ -84,11 +84,11 @@
     let frame = frame.context(ClosedSnafu)?.context(BrokenSnafu)?;
     let query: StateQuestion = havengrade_rpc::decode(&frame).context(MessageSnafu)?;
     if cx.shared.store.is_reading_initial_state(cx.shared.clock.now()) {
-        // Who asks a VM that will know soon need not ask again and again.
+        // Waits for this VM's own read, so that the other VM need not ask again and again.
         let _ = timeout(MAX_WAIT, cx.shared.wait_for_state()).await;
     }
     if query.only_vms || !can_transfer(cx, &query) {
-        // It only wants to know whom this very VM knows, or learns no more here.
+        // An answer without the active state is small, so it needs no admission.
         return send_state(cx, &query, &mut frames).await.map(drop);
     }
     let (decision, revision) = admit(cx).await;
@@ -107,31 +107,33 @@
     served.map(drop)
 }
 
-/// Whether this VM knows what is in force, and all VMs where they are wanted: who was told of some takes those for all.
+/// Whether this VM has the active state and, if the query asks for VMs, the complete list of them.
+///
+/// The receiver takes the VMs that it gets for the complete list.
 fn can_transfer(cx: &PublishedContext, query: &StateQuestion) -> bool {
     cx.shared.knows_state() && (!query.wants_vms || cx.shared.peers().is_list_loaded())
 }
 
-/// Decides on a VM that asks, once it may be served or another one can be named; at what revision.
+/// Waits until a VM may be served or redirected; returns the decision and the revision that it holds for.
 async fn admit(cx: &PublishedContext) -> (TransferDecision, u64) {
-    let until = Instant::now() + MAX_WAIT;
+    let deadline = Instant::now() + MAX_WAIT;
     loop {
         let revision = revision(cx);
         let decision = lock(&cx.shared.transfer_limiter).admit(revision);
-        if decision != TransferDecision::Wait || Instant::now() >= until {
+        if decision != TransferDecision::Wait || Instant::now() >= deadline {
             return (decision, revision);
         }
         sleep(WAIT_INTERVAL).await;
     }
 }
 
-/// A number that rises whenever what is in force changes.
+/// A number that increases whenever the active state changes.
 fn revision(cx: &PublishedContext) -> u64 {
     let view = cx.shared.store.view();
     view.operators_position.unwrap_or_default().saturating_add(view.endpoint_changes.revision())
 }
 
-/// Hands on what this VM knows; tells whether it was all that is in force.
+/// Sends the state that this VM has; returns whether that was the complete active state.
 async fn send_state(
     cx: &PublishedContext,
     query: &StateQuestion,
@@ -140,8 +142,8 @@
     let answer = StateAnswer::new(cx, query, cx.shared.clock.now()).context(PartSnafu)?;
     let is_complete = answer.head.operators.is_some() && answer.head.endpoints.is_some();
     send_head(frames, &answer.head).await?;
-    for text in answer.parts {
-        send_part(frames, text).await?;
+    for part in answer.parts {
+        send_part(frames, part).await?;
     }
     Ok(is_complete)
 }
@@ -151,10 +153,10 @@
     send_frame(frames, Bytes::from(bytes)).await
 }
 
-async fn send_part(frames: &mut FramedStream<BoxConnection>, mut text: Bytes) -> Result<(), ServeError> {
-    while !text.is_empty() {
-        let piece = text.split_to(text.len().min(MAX_FRAME_BYTES));
-        send_frame(frames, piece).await?;
+async fn send_part(frames: &mut FramedStream<BoxConnection>, mut part: Bytes) -> Result<(), ServeError> {
+    while !part.is_empty() {
+        let frame = part.split_to(part.len().min(MAX_FRAME_BYTES));
+        send_frame(frames, frame).await?;
     }
     Ok(())
 }
@@ -163,7 +165,7 @@
     timeout(FRAME_TIMEOUT, frames.send(frame)).await.ok().context(TimeoutSnafu)?.context(BrokenSnafu)
 }
 
-/// A head after which nothing follows; the generated default names empty things instead of none.
+/// A head without parts; in the generated default, optional fields are empty values instead of none.
 fn empty_head() -> StateHead {
     StateHead {
         ask_instead: None,
@@ -190,7 +192,7 @@
 impl StateAnswer {
     fn new(cx: &PublishedContext, query: &StateQuestion, now: SystemTime) -> io::Result<Self> {
         let mut answer = Self { head: empty_head(), parts: Vec::new() };
-        // Without its own first reads this VM has nothing to tell but whom it knows.
+        // Before its first reads, a VM has nothing to give but the list of VMs that it knows.
         if query.only_vms {
             if cx.shared.peers().is_list_loaded() {
                 answer.head.vms = Some(answer.add_part(0, Duration::ZERO, encode_vms_part(cx)?));
@@ -217,8 +219,8 @@
     fn add_operators(&mut self, cx: &PublishedContext, query: &StateQuestion, now: SystemTime) -> io::Result<()> {
         let position = cx.shared.store.view().operators_position.unwrap_or_default();
         let is_newer = query.operators_position.is_none_or(|known| from_i64(known) < position);
-        let text = if is_newer { encode_operators_part(cx, position)? } else { Bytes::new() };
-        self.head.operators = Some(self.add_part(position, cx.shared.config_age(now).unwrap_or_default(), text));
+        let part = if is_newer { encode_operators_part(cx, position)? } else { Bytes::new() };
+        self.head.operators = Some(self.add_part(position, cx.shared.config_age(now).unwrap_or_default(), part));
         Ok(())
     }
 
@@ -232,19 +234,19 @@
             (view.endpoint_changes.position(), view.endpoint_changes.revision(), age, changes)
         };
         let is_ahead = known.is_some_and(|known| known > position);
-        let text = match changes {
+        let part = match changes {
             Some(changes) if changes.is_empty() => Bytes::new(),
             Some(changes) => deflate_json(&changes)?,
             None if is_ahead => Bytes::new(),
             None => encode_endpoints_part(cx, revision)?,
         };
-        self.head.endpoints = Some(self.add_part(position, age, text));
+        self.head.endpoints = Some(self.add_part(position, age, part));
         Ok(())
     }
 
-    fn add_part(&mut self, position: u64, age: Duration, text: Bytes) -> StatePart {
-        let bytes = to_i64(text.len() as u64);
-        self.parts.push(text);
+    fn add_part(&mut self, position: u64, age: Duration, part: Bytes) -> StatePart {
+        let bytes = to_i64(part.len() as u64);
+        self.parts.push(part);
         StatePart::new(to_i64(position), to_i64(age.as_millis() as u64 + 1), bytes)
     }
 }
--- a/havengrade_router/src/published/store_access.rs
+++ b/havengrade_router/src/published/store_access.rs
@@ -1,4 +1,5 @@
-//! How this VM stands to the store: whether it may read it, for whom it does, how far it has read, and when it leaves it alone.
+//! Access of this VM to the store: whether it may read it, whether it does so for others, its position in the store,
+//! and pauses after failed reads.
 
 use std::{
     sync::{
@@ -13,38 +14,38 @@
 
 use crate::shared::lock;
 
-/// Longest time for which others that start wait for a read that is under way: a list of 20,000 endpoints over a link of
-/// 20 Mbit/s takes two seconds.
+/// Longest time for which starting VMs wait for an initial read in progress: a list of 20,000 endpoints takes two
+/// seconds over a link of 20 Mbit/s.
 const MAX_INITIAL_READ_TIME: Duration = Duration::from_secs(4);
 
-/// How far this VM has read the store, for those who ask it.
+/// This VM's view of the store, from which it answers other VMs.
 #[derive(Clone, Debug)]
 pub struct StoreView {
-    /// Position up to which operators' records were taken.
+    /// Position up to which operators' events have been applied; none before the first read.
     pub operators_position: Option<u64>,
-    /// The last changes of the list of endpoints.
+    /// Recent changes to the endpoint list.
     pub endpoint_changes: ChangeLog,
-    /// The list of endpoints as it stands.
+    /// The current endpoint list.
     pub listed_endpoints: Arc<[ListedEndpoint]>,
-    /// Whether the store lost entries of the list that are written again soon.
+    /// Whether the store has lost entries of the list, which endpoints will write again soon.
     pub is_restoring: bool,
-    /// When nothing newer than the list existed.
+    /// Time at which the endpoint list was known to be up to date.
     pub endpoints_confirmed_at: SystemTime,
 }
 
-/// How a VM stands to the store.
+/// Access of a VM to the store.
 pub struct StoreAccess {
-    /// Whether the store may be read: not until a VM that starts has asked others.
+    /// Whether the store may be read; a starting VM asks others first.
     may_read: AtomicBool,
     is_reader: AtomicBool,
-    /// Whether this VM reads the store for others while those whose turn it is don't reach it.
+    /// Whether this VM reads the store for others while the regular readers do not reach it.
     is_fallback_reader: AtomicBool,
-    /// Since when this VM reads what is in force; none where it does not, or knows it.
+    /// Start of the initial read of the active state; none before it or after it failed.
     initial_read_since: Mutex<Option<SystemTime>>,
-    /// Until when the store is left alone after it did not answer.
+    /// End of the pause after a failed read.
     paused_until: Mutex<Option<Instant>>,
     view: Mutex<StoreView>,
-    /// How often the store has come back from an older copy; none before this VM knows any position.
+    /// Number of times that the store was restored from an older copy; none before this VM knows a position.
     eras: watch::Sender<Option<Era>>,
 }
 
@@ -70,7 +71,7 @@
 }
 
 impl StoreAccess {
-    /// Lets the store be read; tells whether it could not be before.
+    /// Allows reads of the store; returns whether they were not allowed before.
     pub fn allow_reads(&self) -> bool {
         !self.may_read.swap(true, Ordering::AcqRel)
     }
@@ -80,39 +81,39 @@
         self.may_read.load(Ordering::Acquire)
     }
 
-    /// Notes that this VM begins to read what is in force.
+    /// Records that this VM starts to read the active state for the first time.
     pub fn start_initial_read(&self, now: SystemTime) {
         lock(&self.initial_read_since).get_or_insert(now);
     }
 
-    /// Notes that such a read has failed.
+    /// Records that the initial read has failed.
     pub fn fail_initial_read(&self) {
         *lock(&self.initial_read_since) = None;
     }
 
-    /// Whether this VM is reading what is in force, so that others may wait for it.
+    /// Whether this VM is reading the active state for the first time, so that others may wait for it.
     pub fn is_reading_initial_state(&self, now: SystemTime) -> bool {
         lock(&self.initial_read_since).is_some_and(|since| now < since + MAX_INITIAL_READ_TIME)
     }
 
-    /// How far this VM has read the store, locked for a moment.
+    /// This VM's view of the store, locked until the guard is dropped.
     pub fn view(&self) -> MutexGuard<'_, StoreView> {
         lock(&self.view)
     }
 
-    /// Notes the era of a position in the store that was read here or by another VM.
+    /// Records the era of a position in the store, read by this VM or by another one.
     pub fn record_era(&self, era: Era) {
         let is_restored = self.eras.send_if_modified(|known| {
             let before = known.replace(known.map_or(era, |known| known.max(era)));
-            // Before the first one, this VM had written nothing that could be lost.
+            // Before the first era was known, this VM had written nothing that could be lost.
             before.is_some_and(|before| before < era)
         });
         if is_restored {
-            log::warn!(era = era; "the store came back from an older copy; what this VM wrote is written again");
+            log::warn!(era = era; "store was restored from an older copy; this VM writes its entries again");
         }
     }
 
-    /// Tells of each time that the store has come back from an older copy.
+    /// A channel that reports each restore of the store from an older copy.
     pub fn eras(&self) -> watch::Receiver<Option<Era>> {
         self.eras.subscribe()
     }
@@ -122,31 +123,31 @@
         self.is_reader.load(Ordering::Acquire) || self.is_fallback_reader()
     }
 
-    /// Whether this VM reads the store for others in place of those whose turn it is.
+    /// Whether this VM reads the store for others in place of the regular readers.
     pub fn is_fallback_reader(&self) -> bool {
         self.is_fallback_reader.load(Ordering::Acquire)
     }
 
-    /// Notes whether it does.
+    /// Sets whether this VM reads the store for others in place of the regular readers.
     pub fn set_fallback_reader(&self, is_fallback_reader: bool) {
         if self.is_fallback_reader.swap(is_fallback_reader, Ordering::AcqRel) != is_fallback_reader {
-            log::info!(reads = u64::from(is_fallback_reader); "this VM reads the store in place of readers that don't reach it");
+            log::info!(reads = u64::from(is_fallback_reader); "this VM starts or stops being a fallback reader");
         }
     }
 
-    /// Notes whether this VM reads the store for others.
+    /// Sets whether this VM is a regular reader of the store for others.
     pub fn set_reader(&self, is_reader: bool) {
         if self.is_reader.swap(is_reader, Ordering::AcqRel) != is_reader {
-            log::info!(reads = u64::from(is_reader); "this VM begins or ends to read the store for others");
+            log::info!(reads = u64::from(is_reader); "this VM starts or stops being a reader of the store");
         }
     }
 
-    /// Whether the store is left alone at `now`, since it lately did not answer one of the feeds.
+    /// Whether reads are paused at `now`, since the last read of some feed failed.
     pub fn is_paused(&self, now: Instant) -> bool {
         lock(&self.paused_until).is_some_and(|until| now < until)
     }
 
-    /// Leaves the store alone until a time, or no longer.
+    /// Pauses reads until a time, or ends the pause.
     pub fn set_paused_until(&self, until: Option<Instant>) {
         *lock(&self.paused_until) = until;
     }
--- a/havengrade_router/src/published/store_queries.rs
+++ b/havengrade_router/src/published/store_queries.rs
@@ -1,4 +1,4 @@
-//! Asking the VMs that read the store what is new in it, and answering those that ask.
+//! Queries to the VMs that read the store about changes in it, and answers to such queries.
 
 use std::{
     net::SocketAddr,
@@ -22,32 +22,32 @@
     wire::{decode_change, encode_change, from_i64, to_i64},
 };
 
-/// Time between two questions.
+/// Time between two queries.
 const QUERY_INTERVAL: Duration = Duration::from_millis(400);
-/// Time after which another VM is sent where one does not answer; the farthest answers in some 10 ms.
+/// Time after which another VM is asked if one does not answer; the most distant VM answers in about 10 ms.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
-/// Most changes in one answer, so that it fits a packet; who misses more takes them over a connection.
+/// Largest number of changes in an answer, so that it fits into a packet; more are transferred over a connection.
 const MAX_CHANGES: usize = 8;
 
-/// Age of the configuration from which a VM that offers to read for others is sent.
+/// Age of the configuration from which a VM that offers to be a fallback reader is asked.
 const FALLBACK_AGE: Duration = Duration::from_millis(1200);
 
-/// Number of an answer that nobody sent for: it only says that operators wrote something.
+/// Number of an unsolicited answer, which only hints at new operators' events.
 const HINT_NUMBER: u64 = 0;
 
-/// A query that was sent.
+/// The query that was sent last.
 #[derive(Clone, Debug)]
 struct SentQuery {
     number: u64,
-    /// The VM that was sent.
+    /// The VM that was asked.
     vm: VmId,
     sent_at: SystemTime,
     is_answered: bool,
-    operators: u64,
-    endpoints: u64,
+    operators_position: u64,
+    endpoints_position: u64,
 }
 
-/// The questions of this VM.
+/// The queries of this VM.
 #[derive(Debug, Default)]
 pub(super) struct StoreQueries {
     last: Option<SentQuery>,
@@ -56,24 +56,34 @@
 }
 
 impl StoreQueries {
-    /// Finds out who reads the store; gives a query and whom to ask, if it is time for one.
+    /// Selects the readers of the store; returns the next query and the address to send it to, if one is due.
     pub(super) fn next_query(&mut self, cx: &PublishedContext, now: SystemTime) -> Option<(StoreQuestion, SocketAddr)> {
-        let pause = |sent: &SentQuery| if sent.is_answered { QUERY_INTERVAL } else { ANSWER_TIMEOUT };
-        if self.last.as_ref().is_some_and(|sent| now < sent.sent_at + pause(sent)) {
+        let interval = |sent: &SentQuery| if sent.is_answered { QUERY_INTERVAL } else { ANSWER_TIMEOUT };
+        if self.last.as_ref().is_some_and(|sent| now < sent.sent_at + interval(sent)) {
             return None;
         }
         if let Some(sent) = self.last.take_if(|sent| !sent.is_answered) {
             self.readers.record_miss(&sent.vm, now);
         }
         let (vm, to) = self.choose_reader(cx, now)?;
-        let (operators, endpoints) = positions(cx)?;
+        let (operators_position, endpoints_position) = positions(cx)?;
         self.number += 1;
-        self.last = Some(SentQuery { number: self.number, vm, sent_at: now, is_answered: false, operators, endpoints });
+        self.last = Some(SentQuery {
+            number: self.number,
+            vm,
+            sent_at: now,
+            is_answered: false,
+            operators_position,
+            endpoints_position,
+        });
         let address = cx.shared.settings.listen.peers.to_string();
-        Some((StoreQuestion::new(to_i64(self.number), address, to_i64(operators), to_i64(endpoints)), to))
+        Some((
+            StoreQuestion::new(to_i64(self.number), address, to_i64(operators_position), to_i64(endpoints_position)),
+            to,
+        ))
     }
 
-    /// The VM to ask; none where this VM is a reader, or the others are not known yet.
+    /// The VM to ask; none if this VM is a reader or the list of VMs has not been loaded.
     fn choose_reader(&mut self, cx: &PublishedContext, now: SystemTime) -> Option<(VmId, SocketAddr)> {
         let me = &cx.shared.settings.vm.id;
         let peers = cx.shared.peers();
@@ -93,14 +103,14 @@
         Some((vm, address))
     }
 
-    /// Takes an answer and hands it to the services that follow the store.
+    /// Applies an answer and relays its events to the feeds' services.
     pub(super) fn apply_answer(&mut self, cx: &PublishedContext, answer: StoreAnswer) {
         if from_i64(answer.number) == HINT_NUMBER {
             self.apply_hint(cx, &answer);
             return;
         }
         let Some(sent) = self.last.as_mut().filter(|sent| sent.number == from_i64(answer.number)) else { return };
-        let age = age_of(&answer);
+        let age = answer_age(&answer);
         sent.is_answered = true;
         if age >= MAX_RELAYED_AGE {
             self.readers.record_stale_answer(&sent.vm);
@@ -111,7 +121,7 @@
         apply_endpoints(cx, sent, answer);
     }
 
-    /// A hint is believed no further than that its sender is worth a query.
+    /// Applies a hint: it is never trusted as state, but makes this VM ask the sender.
     fn apply_hint(&mut self, cx: &PublishedContext, hint: &StoreAnswer) {
         let known = cx.shared.store.view().operators_position;
         let position = from_i64(hint.operators_position);
@@ -119,15 +129,15 @@
             fetch_change(cx, hint, position);
         }
         let now = cx.shared.clock.now();
-        let is_old = cx.shared.config_age(now).is_none_or(|age| age >= FALLBACK_AGE);
-        if is_old && age_of(hint) < MAX_RELAYED_AGE {
-            self.apply_fallback_offer(cx, hint);
+        let is_stale = cx.shared.config_age(now).is_none_or(|age| age >= FALLBACK_AGE);
+        if is_stale && answer_age(hint) < MAX_RELAYED_AGE {
+            self.add_fallback_reader(cx, hint);
         }
     }
 
-    /// Asks the sender of a hint at once, since the readers don't reach the store.
-    fn apply_fallback_offer(&mut self, cx: &PublishedContext, hint: &StoreAnswer) {
-        let Some(address) = address_of(hint) else { return };
+    /// Adds the sender of a hint as a fallback reader and makes a query due, since the readers do not reach the store.
+    fn add_fallback_reader(&mut self, cx: &PublishedContext, hint: &StoreAnswer) {
+        let Some(address) = transfer_address(hint) else { return };
         let vm = cx.shared.peers().all().find(|peer| peer.address == address).map(|peer| peer.vm.clone());
         if let Some(vm) = vm {
             self.readers.add_fallback(vm);
@@ -136,15 +146,15 @@
     }
 }
 
-/// What a VM that reads the store tells all others when operators wrote something.
+/// The hint that a reader sends to all other VMs after operators wrote something.
 pub(super) fn change_hint(cx: &PublishedContext, now: SystemTime) -> Option<StoreAnswer> {
     let query = StoreQuestion::new(to_i64(HINT_NUMBER), String::new(), 0, to_i64(u64::MAX));
     answer_query(cx, &query, now)
 }
 
-/// Takes news from the VM that told of them where it hands them on, or else from the store.
+/// Fetches a change from the VM that reported it if it transfers state, or else from the store.
 fn fetch_change(cx: &PublishedContext, answer: &StoreAnswer, position: u64) {
-    match address_of(answer) {
+    match transfer_address(answer) {
         Some(from) => fetch_update(cx, from, FetchTarget::Operators(position)),
         None => {
             if let Some(service) = find_service::<OperatorEvent>(cx, OPERATOR_FEED) {
@@ -154,16 +164,16 @@
     }
 }
 
-/// Where the answering VM hands on what it knows, if it does.
-fn address_of(answer: &StoreAnswer) -> Option<SocketAddr> {
+/// The address at which the answering VM transfers its state, if it does.
+fn transfer_address(answer: &StoreAnswer) -> Option<SocketAddr> {
     answer.address.as_ref()?.parse().ok()
 }
 
-fn age_of(answer: &StoreAnswer) -> Duration {
+fn answer_age(answer: &StoreAnswer) -> Duration {
     Duration::from_millis(from_i64(answer.operators_age_ms.max(answer.endpoints_age_ms)))
 }
 
-/// How far this VM has read the store; none before its first reads.
+/// The positions of this VM's view of the store; none before its first reads.
 fn positions(cx: &PublishedContext) -> Option<(u64, u64)> {
     let view = cx.shared.store.view();
     Some((view.operators_position?, view.endpoint_changes.position()))
@@ -172,9 +182,9 @@
 fn apply_operators(cx: &PublishedContext, sent: &SentQuery, answer: &StoreAnswer) {
     let Some(service) = find_service::<OperatorEvent>(cx, OPERATOR_FEED) else { return };
     let position = from_i64(answer.operators_position);
-    if position > sent.operators {
+    if position > sent.operators_position {
         fetch_change(cx, answer, position);
-    } else if position == sent.operators {
+    } else if position == sent.operators_position {
         let at = confirmed_at(sent.sent_at, Duration::from_millis(from_i64(answer.operators_age_ms)));
         let relayed = RelayedEvents { events: Vec::new(), from: Some(position), position, at };
         send(&service, FeedMessage::Relayed(relayed));
@@ -184,15 +194,15 @@
 fn apply_endpoints(cx: &PublishedContext, sent: &SentQuery, answer: StoreAnswer) {
     let Some(service) = find_service::<DirectoryEvent>(cx, ENDPOINT_FEED) else { return };
     let position = from_i64(answer.endpoints_position);
-    if position < sent.endpoints {
+    if position < sent.endpoints_position {
         return;
     }
-    let from = address_of(&answer);
+    let from = transfer_address(&answer);
     let events = answer.changes.map(|changes| changes.into_iter().map(decode_change).collect::<Option<Vec<_>>>());
     match (events.flatten(), from) {
         (Some(events), _) => {
             let at = confirmed_at(sent.sent_at, Duration::from_millis(from_i64(answer.endpoints_age_ms)));
-            let relayed = RelayedEvents { events, from: Some(sent.endpoints), position, at };
+            let relayed = RelayedEvents { events, from: Some(sent.endpoints_position), position, at };
             send(&service, FeedMessage::Relayed(relayed));
         },
         (None, Some(from)) => fetch_update(cx, from, FetchTarget::Endpoints(position)),
@@ -200,7 +210,7 @@
     }
 }
 
-/// Answers a query from what this VM knows; none before its own first reads.
+/// Answers a query from this VM's view of the store; none before its first reads.
 pub(super) fn answer_query(cx: &PublishedContext, query: &StoreQuestion, now: SystemTime) -> Option<StoreAnswer> {
     let view = cx.shared.store.view();
     let age = |at: SystemTime| to_i64(now.duration_since(at).unwrap_or_default().as_millis() as u64 + 1);
