--- a/havengrade_router/src/traffic/ledger_client.rs
+++ b/havengrade_router/src/traffic/ledger_client.rs
@@ -1,4 +1,4 @@
-//! What traffic asks of the services for the ledger and for bills.
+//! Calls to the ledger service and the billing service.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
     },
 };
 
-/// Time for a look-up, which needs no other system.
-const LOOK_UP_LIMIT: Duration = Duration::from_secs(1);
+/// Time limit of a look-up, which is answered from memory.
+const LOOKUP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Submits a record and waits until it is known how it fared.
+/// Submits a record and waits for the result of its submission.
 pub(crate) async fn submit(cx: &Context, record: LedgerRecord) -> SubmitOutcome {
     let record = Box::new(record);
     let submitted = if let LedgerRecord::Bill(_) = *record {
@@ -33,10 +33,10 @@
     submitted.and_then(|submitted| submitted.success_or(()).ok()).unwrap_or(SubmitOutcome::Cancelled)
 }
 
-/// Submits a record that is never given up and that nobody waits for.
+/// Submits a record that is never given up, without waiting for the result.
 pub(crate) fn submit_detached(cx: &Context, record: LedgerRecord) {
     let record = Box::new(record);
-    // A service that is gone takes its records along, as a crash would; peers may hold them.
+    // A service that has stopped loses its records as in a crash, except for those that peers hold.
     if let LedgerRecord::Bill(_) = *record {
         if let Some(service) = cx.find::<BillsMessage>(bills::NAME) {
             let _ = service.cast(BillsMessage::Submit { record, reply: None });
@@ -46,16 +46,16 @@
     }
 }
 
-/// What is known of a key.
+/// Returns the state of an idempotency key.
 pub(crate) async fn find_key(cx: &Context, key: ClaimKey) -> Option<KeyState> {
     let service = cx.find::<LedgerMessage>(ledger::NAME)?;
-    let state = service.call(|reply| LedgerMessage::KeyState(key, reply), Some(LOOK_UP_LIMIT)).await;
+    let state = service.call(|reply| LedgerMessage::KeyState(key, reply), Some(LOOKUP_TIMEOUT)).await;
     state.ok()?.success_or(()).ok().flatten()
 }
 
-/// What is known of the key that a request holds.
+/// Returns the idempotency key that a request has claimed, and its state.
 pub(crate) async fn find_request(cx: &Context, id: RequestId) -> Option<(ClaimKey, KeyState)> {
     let service = cx.find::<LedgerMessage>(ledger::NAME)?;
-    let state = service.call(|reply| LedgerMessage::RequestState(id, reply), Some(LOOK_UP_LIMIT)).await;
+    let state = service.call(|reply| LedgerMessage::RequestState(id, reply), Some(LOOKUP_TIMEOUT)).await;
     state.ok()?.success_or(()).ok().flatten()
 }
--- a/havengrade_router/src/traffic/problem.rs
+++ b/havengrade_router/src/traffic/problem.rs
@@ -1,4 +1,4 @@
-//! Errors as callers see them: `application/problem+json` with what they may rely on.
+//! Errors as callers see them: `application/problem+json` that states whether the request ran.
 
 use std::time::Duration;
 
@@ -17,28 +17,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// It did not run and never will.
+    /// The request did not run and never will.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun,
 }
 
-/// An error as a caller sees it.
+/// An error answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Name of the kind of error.
+    /// Kind of the error.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Status of the answer.
+    /// HTTP status of the answer.
     pub status: u16,
-    /// What is wrong and what to do about it.
+    /// Cause of the error and what the caller can do about it.
     pub detail: String,
     /// Whether the request ran.
     pub run_state: RunState,
-    /// Id of the request, where it has one.
+    /// Id of the request, if it has one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_id: Option<String>,
-    /// Time after which another try may succeed, in milliseconds.
+    /// Time after which a retry may succeed, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
@@ -47,7 +47,7 @@
 pub(crate) const PROBLEM_JSON: &str = "application/problem+json";
 
 impl Problem {
-    /// A problem of a request that did not run.
+    /// Creates the problem of a request that did not run.
     pub fn not_run(status: StatusCode, kind: &str, detail: impl Into<String>) -> Self {
         Self {
             kind: kind.to_owned(),
@@ -59,31 +59,31 @@
         }
     }
 
-    /// A problem of a request that may have run.
+    /// Creates the problem of a request that may have run.
     pub fn may_have_run(status: StatusCode, kind: &str, detail: impl Into<String>) -> Self {
         Self { run_state: RunState::MayHaveRun, ..Self::not_run(status, kind, detail) }
     }
 
-    /// The problem with the time after which another try may succeed.
+    /// Sets the time after which a retry may succeed.
     #[must_use]
     pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after_ms = Some(u64::try_from(after.as_millis()).unwrap_or(u64::MAX));
         self
     }
 
-    /// The problem with the id of its request.
+    /// Sets the id of the request.
     #[must_use]
     pub fn with_request_id(mut self, id: &str) -> Self {
         self.request_id = Some(id.to_owned());
         self
     }
 
-    /// The problem as JSON.
+    /// Encodes the problem as JSON.
     pub fn to_json(&self) -> Bytes {
         Bytes::from(serde_json::to_vec(self).unwrap_or_default())
     }
 
-    /// The problem as an answer.
+    /// Returns the problem as an HTTP response.
     pub fn to_response(&self) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::new(self.to_json()));
         *response.status_mut() = StatusCode::from_u16(self.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -129,14 +129,14 @@
 
 impl From<Closed> for Problem {
     fn from(closed: Closed) -> Self {
-        /// Time after which another VM, or this one, will serve.
-        const COME_BACK: Duration = Duration::from_secs(1);
+        /// Time after which another VM, or this one, is expected to serve requests.
+        const RETRY_DELAY: Duration = Duration::from_secs(1);
         let (kind, detail) = match closed {
             Closed::Starting => ("starting", "this VM has not caught up with the configuration yet; try another"),
             Closed::Stale => ("stale", "this VM can't tell whether its configuration is the newest; try another"),
             Closed::Draining => ("draining", "this VM is about to stop; try another"),
             Closed::BillsWaiting => ("bills_waiting", "too many bills wait for the log service; come back later"),
         };
-        Self::not_run(StatusCode::SERVICE_UNAVAILABLE, kind, detail).with_retry_after(COME_BACK)
+        Self::not_run(StatusCode::SERVICE_UNAVAILABLE, kind, detail).with_retry_after(RETRY_DELAY)
     }
 }
