--- a/havengrade_router/src/traffic/active_request.rs
+++ b/havengrade_router/src/traffic/active_request.rs
@@ -1,4 +1,4 @@
-//! A request on its way: what every step of carrying it out needs.
+//! A request in execution, with the state that the steps of the execution share.
 
 use std::{
     sync::{
@@ -22,64 +22,64 @@
 
 use crate::{kernel::Context, traffic::request_table::RequestEntry};
 
-/// The key of a request that may not be repeated, or that outlives its VM.
+/// Idempotency key of a request that may not be repeated, or whose outcome must outlive this VM.
 #[derive(Clone, Debug)]
-pub(crate) struct Keyed {
-    pub(crate) key: ClaimKey,
-    /// Number of the attempt; none where the caller does not count.
+pub(crate) struct IdempotencyKey {
+    pub(crate) claim_key: ClaimKey,
+    /// Number of the caller's attempt; `None` if the caller doesn't count attempts.
     pub(crate) attempt: Option<Attempt>,
-    pub(crate) body: Digest,
+    pub(crate) body_digest: Digest,
 }
 
-impl Keyed {
+impl IdempotencyKey {
     pub(crate) fn new(account: &str, key: &str, attempt: Option<Attempt>, body: &[u8]) -> Self {
-        let key = ClaimKey { account: account.to_owned(), key: key.to_owned() };
-        Self { key, attempt, body: digest(body) }
+        let claim_key = ClaimKey { account: account.to_owned(), key: key.to_owned() };
+        Self { claim_key, attempt, body_digest: digest(body) }
     }
 
-    /// Number of the attempt, 1 where the caller does not count.
+    /// Number of the caller's attempt, or 1 if the caller doesn't count attempts.
     pub(crate) fn attempt(&self) -> Attempt {
         self.attempt.unwrap_or(1)
     }
 }
 
-/// What a request costs so far.
+/// Tokens that a request has used so far, and their cost.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Spent {
+pub(crate) struct Consumption {
     pub(crate) usage: TokenUsage,
     pub(crate) cost: Micros,
 }
 
-/// A request that has been decided.
-pub(crate) struct Job {
+/// A request whose route is decided and which was admitted.
+pub(crate) struct ActiveRequest {
     pub(crate) cx: Context,
     pub(crate) entry: Arc<RequestEntry>,
     pub(crate) decision: RoutingDecision,
-    pub(crate) keyed: Option<Keyed>,
+    pub(crate) idempotency_key: Option<IdempotencyKey>,
     pub(crate) body: Bytes,
-    pub(crate) arrived: SystemTime,
-    /// Whether anything may have reached an endpoint.
+    pub(crate) received_at: SystemTime,
+    /// Whether the request may have reached an endpoint.
     pub(crate) is_sent: AtomicBool,
-    /// Whether the log shows that this request holds its key.
+    /// Whether the log shows that this request holds the claim of its key.
     pub(crate) is_claimed: AtomicBool,
 }
 
-impl Job {
+impl ActiveRequest {
     pub(crate) fn now(&self) -> SystemTime {
         self.cx.shared.clock.now()
     }
 
-    /// Time that is left until the deadline.
+    /// Time left until the deadline.
     pub(crate) fn time_left(&self) -> Duration {
-        (self.arrived + self.decision.deadline).duration_since(self.now()).unwrap_or_default()
+        (self.received_at + self.decision.deadline).duration_since(self.now()).unwrap_or_default()
     }
 
-    /// Notes that something is about to be sent; tells whether something had been before.
+    /// Records that the request is about to be sent; returns whether it may have been sent before.
     pub(crate) fn mark_sent(&self) -> bool {
         self.is_sent.swap(true, Ordering::AcqRel)
     }
 
-    /// Takes that back, where it turned out that nothing was sent or run.
+    /// Reverts [`Self::mark_sent`] after an attempt that provably sent or ran nothing.
     pub(crate) fn unmark_sent(&self) {
         self.is_sent.store(false, Ordering::Release);
     }
@@ -88,36 +88,36 @@
         self.is_sent.load(Ordering::Acquire)
     }
 
-    /// Whether a second run would do no harm.
+    /// Whether the request may safely run twice.
     pub(crate) fn is_repeatable(&self) -> bool {
         self.decision.class.repeatable
     }
 
-    /// Chooses the endpoint for the next try.
-    pub(crate) fn choose(&self, version: Option<&VersionId>, tried: &[EndpointId]) -> Option<Endpoint> {
+    /// Chooses the endpoint for the next attempt.
+    pub(crate) fn choose_endpoint(&self, version: Option<&VersionId>, tried: &[EndpointId]) -> Option<Endpoint> {
         let shared = &self.cx.shared;
         let catalog = shared.catalog.load();
         let failure_domain = &shared.settings.vm.failure_domain;
-        let wanted = SelectionContext { failure_domain, tried, now: self.now() };
+        let context = SelectionContext { failure_domain, tried, now: self.now() };
         let mut rng = shared.rng();
-        choose_endpoint(&catalog, &self.decision.route, version, &shared.endpoints, wanted, &mut *rng).cloned()
+        choose_endpoint(&catalog, &self.decision.route, version, &shared.endpoints, context, &mut *rng).cloned()
     }
 
-    /// Time until the first of the endpoints for the next try no longer wants rest; none where one of them wants none.
-    pub(crate) fn rest_left(&self, version: Option<&VersionId>) -> Option<Duration> {
+    /// Time until the first eligible endpoint ends its backoff; `None` if one of them has no backoff.
+    pub(crate) fn backoff_left(&self, version: Option<&VersionId>) -> Option<Duration> {
         let shared = &self.cx.shared;
         backoff_left(&shared.catalog.load(), &self.decision.route, version, &shared.endpoints, self.now())
     }
 
-    /// Whether the configuration may still be relied on, looked at again right before something is sent.
+    /// Whether the configuration is still fresh and the version active; checked again right before each send.
     pub(crate) fn may_send(&self, version: Option<&VersionId>) -> bool {
         let shared = &self.cx.shared;
         let is_active = version.is_none_or(|version| shared.catalog.load().config.is_active(version));
         shared.is_fresh(self.now()) && is_active
     }
 
-    /// Notes how a try at an endpoint went.
-    pub(crate) fn note_try(&self, endpoint: &str, succeeded: bool) {
+    /// Records the result of an attempt at an endpoint.
+    pub(crate) fn record_attempt(&self, endpoint: &str, succeeded: bool) {
         let settings = &self.cx.shared.settings.endpoints;
         let Some(slot) = self.cx.shared.endpoints.slot(endpoint) else { return };
         if succeeded {
@@ -127,31 +127,31 @@
         }
     }
 
-    /// The claim for a try at an endpoint.
-    pub(crate) fn claim(&self, keyed: &Keyed, endpoint: &str) -> Claim {
+    /// Returns the claim for an attempt at an endpoint.
+    pub(crate) fn claim(&self, idempotency_key: &IdempotencyKey, endpoint: &str) -> Claim {
         Claim {
-            key: keyed.key.clone(),
-            attempt: keyed.attempt(),
+            key: idempotency_key.claim_key.clone(),
+            attempt: idempotency_key.attempt(),
             holder: self.cx.shared.incarnation,
             request_id: self.entry.id.clone(),
             class: self.decision.class.id.clone(),
-            body_sha256: encode_body_digest(&keyed.body),
+            body_sha256: encode_body_digest(&idempotency_key.body_digest),
             endpoint: endpoint.to_owned(),
             at: self.now(),
         }
     }
 
-    /// The bill for what was spent.
-    pub(crate) fn bill(&self, version: Option<&VersionId>, endpoint: &str, spent: Spent) -> Bill {
+    /// Returns the bill for the tokens used.
+    pub(crate) fn bill(&self, version: Option<&VersionId>, endpoint: &str, consumption: Consumption) -> Bill {
         Bill {
             request_id: self.entry.id.clone(),
             account: self.entry.account.clone(),
-            key: self.keyed.as_ref().map(|keyed| keyed.key.key.clone()),
+            key: self.idempotency_key.as_ref().map(|key| key.claim_key.key.clone()),
             class: self.decision.class.id.clone(),
             version: version.cloned(),
             endpoint: endpoint.to_owned(),
-            usage: spent.usage,
-            cost: spent.cost,
+            usage: consumption.usage,
+            cost: consumption.cost,
             at: self.now(),
         }
     }
--- a/havengrade_router/src/traffic/backoff.rs
+++ b/havengrade_router/src/traffic/backoff.rs
@@ -1,4 +1,4 @@
-//! Endpoints that turn a request away and ask for rest, at the router's own interface.
+//! Backoff that endpoints request when they reject a request, for the router's own API.
 
 use hyper::{HeaderMap, StatusCode, header::RETRY_AFTER};
 
@@ -7,10 +7,10 @@
     published::dialect::{parse_decimal, requested_backoff},
 };
 
-/// Notes the time for which an endpoint that turned a request away wants nothing more from this VM.
-pub(crate) fn note_rest(cx: &Context, endpoint: &str, status: StatusCode, headers: &HeaderMap) {
-    let Some(rest) = requested_backoff(status, parse_decimal(headers, &RETRY_AFTER)) else { return };
+/// Records the backoff that an endpoint requested of this VM in an answer that rejects a request.
+pub(crate) fn record_backoff(cx: &Context, endpoint: &str, status: StatusCode, headers: &HeaderMap) {
+    let Some(backoff) = requested_backoff(status, parse_decimal(headers, &RETRY_AFTER)) else { return };
     let Some(slot) = cx.shared.endpoints.slot(endpoint) else { return };
-    slot.rest(rest, cx.shared.clock.now());
-    log::info!(endpoint = endpoint, rest_ms = rest.as_millis() as u64; "endpoint asks this VM for rest");
+    slot.rest(backoff, cx.shared.clock.now());
+    log::info!(endpoint = endpoint, rest_ms = backoff.as_millis() as u64; "endpoint asks this VM for rest");
 }
--- a/havengrade_router/src/traffic/chat_api.rs
+++ b/havengrade_router/src/traffic/chat_api.rs
@@ -1,4 +1,4 @@
-//! The shape in which model clients speak: chat requests, whole answers and streamed pieces.
+//! JSON format of the chat API: requests, complete answers and streamed chunks.
 
 use std::time::SystemTime;
 
@@ -6,40 +6,40 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value, json};
 
-/// A chat request; fields that we don't read are passed on as they are.
+/// A chat request; fields that the router doesn't read are forwarded unchanged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChatRequest {
-    /// Version that the caller insists on; empty or `auto` leaves the choice to the router.
+    /// Version that the caller requires; empty or `auto` leaves the choice to the router.
     #[serde(default)]
     pub model: Option<String>,
-    /// The conversation.
+    /// Messages of the conversation.
     pub messages: Vec<Value>,
     /// Whether the answer is streamed.
     #[serde(default)]
     pub stream: bool,
-    /// Everything else.
+    /// All other fields.
     #[serde(flatten)]
-    pub rest: Map<String, Value>,
+    pub other_fields: Map<String, Value>,
 }
 
 impl ChatRequest {
-    /// The version that the caller insists on.
+    /// Version that the caller requires, if any.
     pub(crate) fn version(&self) -> Option<String> {
         self.model.clone().filter(|model| !model.is_empty() && model != "auto")
     }
 
-    /// The text of the conversation, for the rating service.
+    /// Text of the conversation, for the rating service.
     pub(crate) fn prompt(&self) -> String {
         let text = |message: &Value| message.get("content").and_then(Value::as_str).unwrap_or_default().to_owned();
         self.messages.iter().map(text).collect::<Vec<_>>().join("\n")
     }
 
-    /// The request as an engine gets it; with a beginning of the answer it goes on from there.
-    pub(crate) fn for_engine(&self, version: &str, beginning: &str) -> Value {
+    /// Returns the request body for an engine, which continues the answer after `answer_prefix` if there is one.
+    pub(crate) fn for_engine(&self, version: &str, answer_prefix: &str) -> Value {
         let mut messages = self.messages.clone();
-        let mut body = Value::Object(self.rest.clone());
-        if !beginning.is_empty() {
-            messages.push(json!({ "role": "assistant", "content": beginning }));
+        let mut body = Value::Object(self.other_fields.clone());
+        if !answer_prefix.is_empty() {
+            messages.push(json!({ "role": "assistant", "content": answer_prefix }));
             body["continue_final_message"] = Value::Bool(true);
         }
         body["model"] = Value::from(version);
@@ -50,7 +50,7 @@
     }
 }
 
-/// A piece of an answer as an engine streams it.
+/// A chunk of an answer as an engine streams it.
 #[derive(Debug, Deserialize)]
 pub(crate) struct EngineChunk {
     #[serde(default)]
@@ -87,16 +87,16 @@
     }
 }
 
-fn seconds(at: SystemTime) -> u64 {
+fn unix_seconds(at: SystemTime) -> u64 {
     at.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs()
 }
 
-/// A whole answer.
-pub(crate) fn completion(id: &str, version: &str, content: &str, usage: &TokenUsage, at: SystemTime) -> Value {
+/// Returns a complete answer.
+pub(crate) fn completion_json(id: &str, version: &str, content: &str, usage: &TokenUsage, at: SystemTime) -> Value {
     json!({
         "id": id,
         "object": "chat.completion",
-        "created": seconds(at),
+        "created": unix_seconds(at),
         "model": version,
         "choices": [{
             "index": 0,
@@ -111,8 +111,8 @@
     })
 }
 
-/// A streamed piece, or the last one, which has no content.
-pub(crate) fn chunk(id: &str, version: &str, content: Option<&str>, at: SystemTime) -> Value {
+/// Returns a chunk of a streamed answer; the last one has no content.
+pub(crate) fn chunk_json(id: &str, version: &str, content: Option<&str>, at: SystemTime) -> Value {
     let (delta, finish_reason) = match content {
         Some(content) => (json!({ "content": content }), Value::Null),
         None => (json!({}), Value::from("stop")),
@@ -120,13 +120,13 @@
     json!({
         "id": id,
         "object": "chat.completion.chunk",
-        "created": seconds(at),
+        "created": unix_seconds(at),
         "model": version,
         "choices": [{ "index": 0, "delta": delta, "finish_reason": finish_reason }],
     })
 }
 
-/// The text of a whole answer that had been stored.
-pub(crate) fn content_of(completion: &Value) -> &str {
+/// Returns the text of a stored answer.
+pub(crate) fn completion_content(completion: &Value) -> &str {
     completion.pointer("/choices/0/message/content").and_then(Value::as_str).unwrap_or_default()
 }
--- a/havengrade_router/src/traffic/quarantine.rs
+++ b/havengrade_router/src/traffic/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash endpoints, at the router's own interface: what tries tell of them, and that they are sent no more.
+//! Quarantine of requests that crash endpoints, for the router's own API: records attempts and holds back suspects.
 
 use std::{
     net::SocketAddr,
@@ -16,97 +16,105 @@
 use crate::{
     kernel::Context,
     quarantine::{ProbeResult, log_changes, log_probe, probe},
-    traffic::{Problem, active_request::Job},
+    traffic::{Problem, active_request::ActiveRequest},
 };
 
-/// Time between two looks at whether a request may be sent, while that is about to be known.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// Time after which a request that is held back is tried once more. Without a list two VMs may do so at the same moment, so that it comes rarely.
-const TRIAL_AFTER: Duration = Duration::from_secs(600);
-/// Time for which the next try of a request waits for a look: an endpoint that has ended refuses at once.
-const QUICK_LOOK: Duration = Duration::from_millis(30);
-/// Most time that a request waits for it.
-const MOST_WAIT: Duration = Duration::from_secs(6);
+/// Interval at which a request checks its quarantine status while the decision is pending.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time after which a quarantined request is sent once more as a trial.
+///
+/// The router's own API has no shared list that assigns trials, so two VMs may send one at the same time; the long
+/// delay keeps this rare.
+const TRIAL_DELAY: Duration = Duration::from_secs(600);
+/// Time for which the next attempt of a request waits for a probe; an endpoint that has exited refuses connections at
+/// once.
+const PROBE_WAIT: Duration = Duration::from_millis(30);
+/// Most time that a request waits for a pending quarantine decision.
+const MAX_WAIT: Duration = Duration::from_secs(6);
 
-/// A request on its way, with what it and the version that runs it are known by.
-pub(crate) struct Watched<'a> {
-    job: &'a Job,
-    mark: RequestFingerprint,
-    version: VersionFingerprint,
+/// A request in execution with the fingerprints by which the quarantine knows it and its version.
+pub(crate) struct RequestQuarantine<'a> {
+    request: &'a ActiveRequest,
+    fingerprint: RequestFingerprint,
+    version_fingerprint: VersionFingerprint,
 }
 
-impl<'a> Watched<'a> {
-    /// A request for a version or, with none, for a plain service's path.
-    pub(crate) fn new(job: &'a Job, version: Option<&str>, path: &str) -> Self {
-        let parts = [&job.entry.account, &job.decision.class.id, path].map(str::as_bytes);
+impl<'a> RequestQuarantine<'a> {
+    /// Creates the fingerprints of a request for a version or, without one, for a path of a plain service.
+    pub(crate) fn new(request: &'a ActiveRequest, version: Option<&str>, path: &str) -> Self {
+        let parts = [&request.entry.account, &request.decision.class.id, path].map(str::as_bytes);
         let [account, class, path] = parts;
-        let version = fingerprint(&[version.unwrap_or_default().as_bytes()]);
-        Self { job, mark: fingerprint(&[account, class, path, &job.body]), version }
+        let version_fingerprint = fingerprint(&[version.unwrap_or_default().as_bytes()]);
+        Self { request, fingerprint: fingerprint(&[account, class, path, &request.body]), version_fingerprint }
     }
 
-    /// Lets the request be sent, or tells why it is not.
+    /// Waits until the quarantine lets the request be sent; the error says why it doesn't.
     pub(crate) async fn admit(&self) -> Result<(), Problem> {
-        let cx = &self.job.cx;
-        let give_up = self.job.now() + MOST_WAIT.min(self.job.time_left());
+        let cx = &self.request.cx;
+        let give_up_at = self.request.now() + MAX_WAIT.min(self.request.time_left());
         loop {
-            let now = self.job.now();
+            let now = self.request.now();
             evaluate_suspects(cx, now);
-            let standing = cx.shared.quarantine().status(self.mark, now);
-            let back_after = match standing {
+            let status = cx.shared.quarantine().status(self.fingerprint, now);
+            let retry_after = match status {
                 QuarantineStatus::Free => return Ok(()),
-                QuarantineStatus::TrialDue(hold) => return self.begin_trial(&hold, now),
+                QuarantineStatus::TrialDue(entry) => return self.begin_trial(&entry, now),
                 QuarantineStatus::Quarantined { retry_after } => retry_after,
                 QuarantineStatus::Pending { decided_in } => decided_in,
             };
-            let is_soon = matches!(standing, QuarantineStatus::Pending { .. }) && now + back_after < give_up;
-            if !is_soon {
-                return Err(held(back_after));
+            let is_decided_soon = matches!(status, QuarantineStatus::Pending { .. }) && now + retry_after < give_up_at;
+            if !is_decided_soon {
+                return Err(quarantined(retry_after));
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Tries a request once more that is held back; here no list tells which VM does, so the others are told.
-    fn begin_trial(&self, hold: &QuarantineEntry, now: SystemTime) -> Result<(), Problem> {
-        let until = (hold.since + TRIAL_AFTER).duration_since(now).unwrap_or_default();
-        if !until.is_zero() {
-            return Err(held(until));
+    /// Starts a trial of a quarantined request, if it is due, and records it so that other VMs learn of it.
+    fn begin_trial(&self, entry: &QuarantineEntry, now: SystemTime) -> Result<(), Problem> {
+        let wait = (entry.since + TRIAL_DELAY).duration_since(now).unwrap_or_default();
+        if !wait.is_zero() {
+            return Err(quarantined(wait));
         }
-        let claimed = next_trial(&[*hold], hold, now).ok_or_else(|| held(MOST_WAIT))?;
-        self.job.cx.shared.quarantine().record_trials(claimed.fingerprint, claimed.trials, claimed.last_trial);
-        log::info!(request_id = self.job.entry.id.as_str(); "a request that is held back is tried once more");
+        let trial = next_trial(&[*entry], entry, now).ok_or_else(|| quarantined(MAX_WAIT))?;
+        self.request.cx.shared.quarantine().record_trials(trial.fingerprint, trial.trials, trial.last_trial);
+        log::info!(request_id = self.request.entry.id.as_str(); "sending a quarantined request once more as a trial");
         Ok(())
     }
 
-    /// Notes that an endpoint answered the request as a whole.
-    pub(crate) fn note_answered(&self) {
-        let now = self.job.now();
-        let change = self.job.cx.shared.quarantine().record_answer((self.mark, self.version), now);
+    /// Records that an endpoint answered the request completely.
+    pub(crate) fn record_answer(&self) {
+        let now = self.request.now();
+        let change =
+            self.request.cx.shared.quarantine().record_answer((self.fingerprint, self.version_fingerprint), now);
         log_changes(change.as_slice());
     }
 
-    /// Notes that a try broke that was `sent` to an endpoint, and looks whether that has ended.
-    pub(crate) async fn note_broken(&self, endpoint: &Endpoint, sent: SystemTime) {
-        let now = self.job.now();
+    /// Records that an attempt, started at `sent`, lost its connection, and probes whether the endpoint has exited.
+    pub(crate) async fn record_broken_attempt(&self, endpoint: &Endpoint, sent: SystemTime) {
+        let now = self.request.now();
         let ran_for = now.duration_since(sent).unwrap_or_default();
-        let run = (self.mark, self.version);
-        self.job.cx.shared.quarantine().record_broken_attempt(run, &endpoint.id, ran_for, now);
-        let (cx, id, address) = (self.job.cx.clone(), endpoint.id.clone(), endpoint.address);
-        let end = cx.end.clone();
-        let looking = tokio::spawn(end.run_until_cancelled_owned(async move { look_at(&cx, &id, address).await }));
-        if timeout(QUICK_LOOK, looking).await.is_err() {
-            log::debug!(endpoint = endpoint.id.as_str(); "what a look at an endpoint finds is not waited for");
+        let run = (self.fingerprint, self.version_fingerprint);
+        self.request.cx.shared.quarantine().record_broken_attempt(run, &endpoint.id, ran_for, now);
+        let (cx, id, address) = (self.request.cx.clone(), endpoint.id.clone(), endpoint.address);
+        let shutdown = cx.end.clone();
+        let probing =
+            tokio::spawn(shutdown.run_until_cancelled_owned(async move { probe_endpoint(&cx, &id, address).await }));
+        if timeout(PROBE_WAIT, probing).await.is_err() {
+            log::debug!(endpoint = endpoint.id.as_str(); "not waiting for the probe of an endpoint");
         }
     }
 }
 
-/// Looks whether an endpoint where a try broke has ended. One that says nothing may be cut off from this VM, and is not counted.
-async fn look_at(cx: &Context, endpoint: &str, address: SocketAddr) {
+/// Probes whether an endpoint has exited after an attempt there broke.
+///
+/// A silent endpoint may only be cut off from this VM, so it isn't counted as exited.
+async fn probe_endpoint(cx: &Context, endpoint: &str, address: SocketAddr) {
     let limit = Duration::from_millis(cx.shared.settings.endpoints.connect_timeout_ms);
-    let (found, _) = probe(&*cx.network, address, limit).await;
-    log_probe(endpoint, found);
+    let (result, _) = probe(&*cx.network, address, limit).await;
+    log_probe(endpoint, result);
     let now = cx.shared.clock.now();
-    match found {
+    match result {
         ProbeResult::Answers => cx.shared.quarantine().record_endpoint_alive(endpoint),
         ProbeResult::Refuses => cx.shared.quarantine().record_endpoint_exit(endpoint, now),
         ProbeResult::Silent => {},
@@ -114,12 +122,12 @@
     evaluate_suspects(cx, now);
 }
 
-fn held(back_after: Duration) -> Problem {
+fn quarantined(retry_after: Duration) -> Problem {
     let detail = "endpoints ended under this request, so that it is held back";
-    Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "quarantined", detail).with_retry_after(back_after)
+    Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "quarantined", detail).with_retry_after(retry_after)
 }
 
-/// Judges by what is known now.
+/// Quarantines the requests to which the crashes known now are attributed.
 pub(crate) fn evaluate_suspects(cx: &Context, now: SystemTime) {
     let changes = cx.shared.quarantine().quarantine_suspects(now);
     log_changes(&changes);
--- a/havengrade_router/src/traffic/refusal.rs
+++ b/havengrade_router/src/traffic/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: "not run" is said only where it is certain.
+//! Refusals of requests, which report "not run" only where the request provably didn't run.
 
 use havengrade_core::{
     claim::{ApplyResult, KeyState, Outcome},
@@ -10,95 +10,109 @@
 use crate::{
     kernel::Context,
     services::outbox::SubmitOutcome,
-    traffic::{Problem, RunState, active_request::Keyed, ledger_client, request_table::End},
+    traffic::{Problem, RunState, active_request::IdempotencyKey, ledger_client, request_table::RequestOutcome},
 };
 
-/// The end of a request that this VM has not sent and never will.
+/// Returns the outcome of a request that this VM has not sent and never will.
 ///
-/// For a request with a key, "not run" is a promise about all attempts so far. So a refusal is written
-/// to the log, which makes later claims of those attempts ineffective. Without the log it can be said
-/// only of a first attempt that its caller has counted.
-pub(crate) async fn refuse(cx: &Context, keyed: Option<&Keyed>, request_id: &str, problem: Problem) -> End {
-    let Some(keyed) = keyed else { return End::Failed(problem) };
+/// For a request with an idempotency key, "not run" is a guarantee for all attempts so far. The refusal is therefore
+/// written to the log, which voids later claims of those attempts. Without the log, the guarantee holds only for a
+/// request that its caller has numbered as the first attempt.
+pub(crate) async fn refuse(
+    cx: &Context,
+    idempotency_key: Option<&IdempotencyKey>,
+    request_id: &str,
+    problem: Problem,
+) -> RequestOutcome {
+    let Some(idempotency_key) = idempotency_key else { return RequestOutcome::Failed(problem) };
     if !cx.shared.is_log_reachable() {
-        return End::Failed(without_log(keyed, problem));
+        return RequestOutcome::Failed(without_log_proof(idempotency_key, problem));
     }
     let record = LedgerRecord::Void {
-        key: keyed.key.clone(),
-        up_to: keyed.attempt(),
+        key: idempotency_key.claim_key.clone(),
+        up_to: idempotency_key.attempt(),
         holder: cx.shared.incarnation,
         request_id: request_id.to_owned(),
     };
     match ledger_client::submit(cx, record).await {
-        SubmitOutcome::Logged(ApplyResult::Applied) => End::Failed(problem),
+        SubmitOutcome::Logged(ApplyResult::Applied) => RequestOutcome::Failed(problem),
         SubmitOutcome::Logged(ApplyResult::AlreadyClaimed { request_id, .. }) => {
-            let state = ledger_client::find_key(cx, keyed.key.clone()).await;
-            state.and_then(|state| known(&state, keyed)).unwrap_or(End::PendingElsewhere(request_id))
+            let state = ledger_client::find_key(cx, idempotency_key.claim_key.clone()).await;
+            state
+                .and_then(|state| known_outcome(&state, idempotency_key))
+                .unwrap_or(RequestOutcome::PendingElsewhere(request_id))
         },
         SubmitOutcome::Logged(_) | SubmitOutcome::Replicated | SubmitOutcome::Cancelled => {
-            End::Failed(without_log(keyed, problem))
+            RequestOutcome::Failed(without_log_proof(idempotency_key, problem))
         },
     }
 }
 
-fn without_log(keyed: &Keyed, problem: Problem) -> Problem {
-    if keyed.attempt == Some(1) {
+/// Reports "not run" without a record in the log only for a caller's first attempt.
+fn without_log_proof(idempotency_key: &IdempotencyKey, problem: Problem) -> Problem {
+    if idempotency_key.attempt == Some(1) {
         return problem;
     }
     Problem { run_state: RunState::MayHaveRun, ..problem }
 }
 
-/// The end that the log already shows for a key, if it does.
-pub(crate) fn known(state: &KeyState, keyed: &Keyed) -> Option<End> {
+/// Returns the outcome for a key that the log shows as claimed.
+pub(crate) fn known_outcome(state: &KeyState, idempotency_key: &IdempotencyKey) -> Option<RequestOutcome> {
     let claim = state.claim.as_ref()?;
-    if claim.body != Some(keyed.body) {
-        return Some(End::Failed(other_body()));
+    if claim.body != Some(idempotency_key.body_digest) {
+        return Some(RequestOutcome::Failed(key_reused()));
     }
     let Some(outcome) = &state.outcome else {
-        return Some(End::PendingElsewhere(claim.request_id.clone()));
+        return Some(RequestOutcome::PendingElsewhere(claim.request_id.clone()));
     };
-    Some(stored(outcome, &claim.request_id))
+    Some(stored_outcome(outcome, &claim.request_id))
 }
 
-/// The end that a stored outcome stands for.
-pub(crate) fn stored(outcome: &Outcome, request_id: &RequestId) -> End {
+/// Converts an outcome from the ledger.
+pub(crate) fn stored_outcome(outcome: &Outcome, request_id: &RequestId) -> RequestOutcome {
     match outcome {
         Outcome::Answered { status, content_type, body } => {
-            End::Answered { status: *status, content_type: content_type.clone(), body: body.clone().into() }
+            RequestOutcome::Answered { status: *status, content_type: content_type.clone(), body: body.clone().into() }
         },
-        Outcome::MayHaveRun => End::Failed(lost_answer().with_request_id(request_id)),
+        Outcome::MayHaveRun => RequestOutcome::Failed(answer_lost().with_request_id(request_id)),
     }
 }
 
-/// Kind of the problem of a request whose answer is lost.
+/// Problem kind of a request whose answer is lost.
 pub(crate) const ANSWER_LOST: &str = "answer_lost";
 
-/// The problem of a request whose answer is lost.
-pub(crate) fn lost_answer() -> Problem {
+/// Returns the problem of a request whose answer is lost.
+pub(crate) fn answer_lost() -> Problem {
     let detail = "the endpoint may have run the request, but its answer is lost; look there before you send another";
     Problem::may_have_run(StatusCode::BAD_GATEWAY, ANSWER_LOST, detail)
 }
 
-fn other_body() -> Problem {
+fn key_reused() -> Problem {
     let detail = "Idempotency-Key: it stands for a request with another body; send a key that is new for each request";
     Problem::not_run(StatusCode::UNPROCESSABLE_ENTITY, "key_reused", detail)
 }
 
-/// The end of an attempt that the log has refused before.
-pub(crate) fn voided(up_to: u32) -> End {
+/// Returns the outcome of an attempt that an earlier refusal in the log has voided.
+pub(crate) fn attempt_refused(up_to: u32) -> RequestOutcome {
     let detail = format!("X-Havengrade-Attempt: attempts up to {up_to} were refused for good; send {}", up_to + 1);
-    End::Failed(Problem::not_run(StatusCode::CONFLICT, "attempt_refused", detail))
+    RequestOutcome::Failed(Problem::not_run(StatusCode::CONFLICT, "attempt_refused", detail))
 }
 
-/// The end that a claim without effect stands for.
-pub(crate) async fn unclaimed(cx: &Context, keyed: &Keyed, verdict: ApplyResult) -> End {
-    match verdict {
-        ApplyResult::AlreadyVoided { up_to } => voided(up_to),
-        ApplyResult::BodyMismatch => End::Failed(other_body()),
+/// Returns the outcome of a request whose claim had no effect.
+pub(crate) async fn outcome_without_claim(
+    cx: &Context,
+    idempotency_key: &IdempotencyKey,
+    result: ApplyResult,
+) -> RequestOutcome {
+    match result {
+        ApplyResult::AlreadyVoided { up_to } => attempt_refused(up_to),
+        ApplyResult::BodyMismatch => RequestOutcome::Failed(key_reused()),
         ApplyResult::AlreadyClaimed { request_id, .. } => {
-            let state = ledger_client::find_key(cx, keyed.key.clone()).await;
-            state.and_then(|state| known(&state, keyed)).unwrap_or(End::PendingElsewhere(request_id))
+            let state = ledger_client::find_key(cx, idempotency_key.claim_key.clone()).await;
+            state
+                .and_then(|state| known_outcome(&state, idempotency_key))
+                .unwrap_or(RequestOutcome::PendingElsewhere(request_id))
         },
-        ApplyResult::Applied | ApplyResult::NotApplicable => End::Failed(lost_answer()),
+        ApplyResult::Applied | ApplyResult::NotApplicable => RequestOutcome::Failed(answer_lost()),
     }
 }
--- a/havengrade_router/src/traffic/request_table.rs
+++ b/havengrade_router/src/traffic/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests in progress and the answers that are kept for callers who come for them later.
+//! Table of requests in progress and of finished answers that callers may still fetch.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -13,59 +13,60 @@
 
 use super::problem::PROBLEM_JSON;
 
-/// Where an answer comes from; known from its first piece on.
+/// Source of an answer, known from its first piece on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Head {
+pub(crate) struct AnswerSource {
     /// Version that answers.
     pub(crate) version: Option<VersionId>,
     /// Endpoint that answers.
     pub(crate) endpoint: EndpointId,
-    /// Token of the session, if the class has sessions.
+    /// Token of the session that the request started, if any.
     pub(crate) session: Option<String>,
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum End {
-    /// With a whole answer.
+pub(crate) enum RequestOutcome {
+    /// A complete answer.
     Answered {
         /// Status of the answer.
         status: u16,
         /// Content type of the answer.
         content_type: String,
-        /// Its body.
+        /// Body of the answer.
         body: Bytes,
     },
-    /// With an error.
+    /// An error.
     Failed(Problem),
-    /// Another request holds its key and has not ended; the caller may ask for that one.
+    /// Another request, still in progress, holds the same idempotency key; the caller may ask for its status.
     PendingElsewhere(RequestId),
 }
 
+/// Answer of a request as far as it has been received.
 #[derive(Debug, Default)]
 struct Progress {
-    head: Option<Head>,
+    source: Option<AnswerSource>,
     pieces: Vec<Arc<str>>,
-    end: Option<End>,
+    outcome: Option<RequestOutcome>,
 }
 
-/// A request, from its arrival until its answer is no longer kept.
+/// A request, from its arrival until its answer is evicted.
 #[derive(Debug)]
 pub(crate) struct RequestEntry {
     /// Id of the request.
     pub(crate) id: RequestId,
-    /// Client account that it belongs to.
+    /// Client account that sent the request.
     pub(crate) account: AccountId,
     progress: Mutex<Progress>,
     changes: watch::Sender<u64>,
 }
 
-/// What a reader has not seen yet.
-pub(crate) struct News {
+/// Progress of a request since a reader last looked.
+pub(crate) struct ProgressUpdate {
     /// New pieces of the answer.
     pub(crate) pieces: Vec<Arc<str>>,
-    /// The end, if it has come.
-    pub(crate) end: Option<End>,
+    /// Outcome of the request, if it has ended.
+    pub(crate) outcome: Option<RequestOutcome>,
 }
 
 impl RequestEntry {
@@ -73,21 +74,21 @@
         Self { id, account, progress: Mutex::default(), changes: watch::Sender::new(0) }
     }
 
-    /// Notes where the answer comes from.
-    pub(crate) fn begin(&self, head: Head) {
-        lock(&self.progress).head = Some(head);
+    /// Sets the source of the answer.
+    pub(crate) fn set_source(&self, source: AnswerSource) {
+        lock(&self.progress).source = Some(source);
         self.notify();
     }
 
-    /// Adds a piece of the answer.
-    pub(crate) fn push(&self, piece: Arc<str>) {
+    /// Appends a piece of the answer.
+    pub(crate) fn push_piece(&self, piece: Arc<str>) {
         lock(&self.progress).pieces.push(piece);
         self.notify();
     }
 
-    /// Ends the request; the first end stands.
-    pub(crate) fn end(&self, end: End) {
-        lock(&self.progress).end.get_or_insert(end);
+    /// Ends the request; only the first outcome counts.
+    pub(crate) fn complete(&self, outcome: RequestOutcome) {
+        lock(&self.progress).outcome.get_or_insert(outcome);
         self.notify();
     }
 
@@ -95,51 +96,51 @@
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Where the answer comes from, if it has begun.
-    pub(crate) fn head(&self) -> Option<Head> {
-        lock(&self.progress).head.clone()
+    /// Source of the answer, if the answer has begun.
+    pub(crate) fn source(&self) -> Option<AnswerSource> {
+        lock(&self.progress).source.clone()
     }
 
-    /// What has come after the first `seen` pieces.
-    pub(crate) fn news(&self, seen: usize) -> News {
+    /// Returns the progress after the first `piece_count` pieces.
+    pub(crate) fn updates_after(&self, piece_count: usize) -> ProgressUpdate {
         let progress = lock(&self.progress);
-        let pieces = progress.pieces.get(seen..).unwrap_or_default().to_vec();
-        News { pieces, end: progress.end.clone() }
+        let pieces = progress.pieces.get(piece_count..).unwrap_or_default().to_vec();
+        ProgressUpdate { pieces, outcome: progress.outcome.clone() }
     }
 
-    /// Waits until the answer has begun or ended.
-    pub(crate) async fn begun(&self) {
-        self.wait(|progress| !progress.pieces.is_empty() || progress.end.is_some()).await;
+    /// Waits for the first piece of the answer or the outcome.
+    pub(crate) async fn wait_for_first_piece(&self) {
+        self.wait(|progress| !progress.pieces.is_empty() || progress.outcome.is_some()).await;
     }
 
-    /// Waits until there are more than `seen` pieces, or the end.
-    pub(crate) async fn more_than(&self, seen: usize) {
-        self.wait(|progress| progress.pieces.len() > seen || progress.end.is_some()).await;
+    /// Waits for more than `piece_count` pieces or the outcome.
+    pub(crate) async fn wait_for_pieces_after(&self, piece_count: usize) {
+        self.wait(|progress| progress.pieces.len() > piece_count || progress.outcome.is_some()).await;
     }
 
-    /// Waits for the end.
-    pub(crate) async fn ended(&self) -> End {
-        self.wait(|progress| progress.end.is_some()).await;
-        lock(&self.progress).end.clone().unwrap_or_else(|| unreachable!("an end was waited for"))
+    /// Waits for the outcome.
+    pub(crate) async fn wait_for_outcome(&self) -> RequestOutcome {
+        self.wait(|progress| progress.outcome.is_some()).await;
+        lock(&self.progress).outcome.clone().unwrap_or_else(|| unreachable!("the outcome was waited for"))
     }
 
-    async fn wait(&self, is_there: impl Fn(&Progress) -> bool) {
+    async fn wait(&self, is_reached: impl Fn(&Progress) -> bool) {
         let mut changes = self.changes.subscribe();
-        while !is_there(&lock(&self.progress)) {
-            // The sender lives as long as we do.
+        while !is_reached(&lock(&self.progress)) {
+            // `self` owns the sender, so the channel can't be closed here.
             let _ = changes.changed().await;
         }
     }
 }
 
-/// What is known of a request.
+/// Status of a request, as reported to its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestStatus {
-    /// Nothing.
+    /// This VM doesn't know the request.
     Unknown,
-    /// It is in progress.
+    /// The request is in progress.
     Pending,
-    /// It has ended.
+    /// The request has ended.
     Ended {
         /// Status of the answer.
         status: u16,
@@ -153,23 +154,23 @@
 #[derive(Default)]
 struct Entries {
     by_id: HashMap<RequestId, Arc<RequestEntry>>,
-    ended: VecDeque<RequestId>,
+    finished: VecDeque<RequestId>,
     in_progress: usize,
 }
 
-/// All requests that are known here.
+/// All requests that this VM knows.
 pub struct RequestTable {
     entries: Mutex<Entries>,
-    max_kept: usize,
+    max_finished: usize,
 }
 
 impl RequestTable {
-    /// A table that keeps so many answers after their requests ended.
-    pub fn new(max_kept: usize) -> Self {
-        Self { entries: Mutex::default(), max_kept }
+    /// Creates a table that keeps up to `max_finished` requests after their end.
+    pub fn new(max_finished: usize) -> Self {
+        Self { entries: Mutex::default(), max_finished }
     }
 
-    /// Adds a request unless as many as `limit` are in progress.
+    /// Adds a request unless `limit` requests are in progress; returns whether it was added.
     pub(crate) fn insert(&self, entry: Arc<RequestEntry>, limit: usize) -> bool {
         let mut entries = lock(&self.entries);
         if entries.in_progress >= limit {
@@ -180,13 +181,13 @@
         true
     }
 
-    /// Notes that a request has ended; the oldest answers are dropped where there are too many.
+    /// Marks a request as finished and evicts the oldest finished requests beyond the limit.
     pub(crate) fn finish(&self, id: &str) {
         let mut entries = lock(&self.entries);
         entries.in_progress = entries.in_progress.saturating_sub(1);
-        entries.ended.push_back(id.to_owned());
-        while entries.ended.len() > self.max_kept {
-            if let Some(oldest) = entries.ended.pop_front() {
+        entries.finished.push_back(id.to_owned());
+        while entries.finished.len() > self.max_finished {
+            if let Some(oldest) = entries.finished.pop_front() {
                 entries.by_id.remove(&oldest);
             }
         }
@@ -196,20 +197,22 @@
         lock(&self.entries).by_id.get(id).cloned()
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub fn in_progress(&self) -> usize {
         lock(&self.entries).in_progress
     }
 
-    /// What is known of a client account's request; another's is unknown to it.
+    /// Returns the status of a request; a request of another client account is reported as unknown.
     pub fn look_up(&self, id: &str, account: &str) -> RequestStatus {
         let Some(entry) = self.get(id).filter(|entry| entry.account == account) else {
             return RequestStatus::Unknown;
         };
-        match entry.news(0).end {
-            None | Some(End::PendingElsewhere(_)) => RequestStatus::Pending,
-            Some(End::Answered { status, content_type, body }) => RequestStatus::Ended { status, content_type, body },
-            Some(End::Failed(problem)) => RequestStatus::Ended {
+        match entry.updates_after(0).outcome {
+            None | Some(RequestOutcome::PendingElsewhere(_)) => RequestStatus::Pending,
+            Some(RequestOutcome::Answered { status, content_type, body }) => {
+                RequestStatus::Ended { status, content_type, body }
+            },
+            Some(RequestOutcome::Failed(problem)) => RequestStatus::Ended {
                 status: problem.status,
                 content_type: PROBLEM_JSON.to_owned(),
                 body: problem.to_json(),
--- a/havengrade_router/src/traffic/routes.rs
+++ b/havengrade_router/src/traffic/routes.rs
@@ -1,4 +1,4 @@
-//! The paths that callers use, and what happens before a request is carried out.
+//! Paths of the callers' API, and the checks before a request is executed.
 
 use std::{
     sync::{Arc, atomic::AtomicBool},
@@ -24,43 +24,43 @@
     services::members,
     traffic::{
         ChatRequest, Problem, RequestStatus,
-        active_request::{Job, Keyed},
-        answer::{Answer, Manner, answer, ended, from_problem, looked_up, whole},
+        active_request::{ActiveRequest, IdempotencyKey},
+        answer::{Answer, AnswerMode, answer_when_ready, outcome_answer, problem_answer, status_answer, whole_answer},
         caller_headers::{self, CallerHeaders},
-        execution::{Work, run},
+        execution::{RequestKind, execute},
         ledger_client,
-        refusal::{known, refuse, stored},
-        request_table::{End, RequestEntry},
+        refusal::{known_outcome, refuse, stored_outcome},
+        request_table::{RequestEntry, RequestOutcome},
     },
 };
 
-/// Time after which a VM that is full may have room.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// Retry delay reported to a caller while this VM is at its request limit.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Answers one HTTP request.
-pub(crate) async fn route(cx: &Context, request: Request<Incoming>) -> Answer {
+pub(crate) async fn handle_request(cx: &Context, request: Request<Incoming>) -> Answer {
     let path = request.uri().path().to_owned();
     let method = request.method().clone();
     let result = match (&method, path.as_str()) {
-        (&Method::GET, "/healthz") => Ok(whole(200, "text/plain", "ok\n".into())),
-        (&Method::GET, "/readyz") => Ok(ready(cx)),
-        (&Method::GET, "/metrics") => Ok(whole(200, "text/plain; version=0.0.4", metrics::render().into())),
-        (&Method::POST, "/v1/chat/completions") => take_chat(cx, request).await,
+        (&Method::GET, "/healthz") => Ok(whole_answer(200, "text/plain", "ok\n".into())),
+        (&Method::GET, "/readyz") => Ok(readiness(cx)),
+        (&Method::GET, "/metrics") => Ok(whole_answer(200, "text/plain; version=0.0.4", metrics::render().into())),
+        (&Method::POST, "/v1/chat/completions") => handle_chat(cx, request).await,
         (&Method::GET, path) if path.starts_with(REQUESTS) => {
             look_up(cx, request.headers(), path.trim_start_matches(REQUESTS)).await
         },
         (&Method::POST, path) if path.starts_with(SERVICES) => {
             let service = path.trim_start_matches(SERVICES).to_owned();
-            take_call(cx, request, service).await
+            handle_service_call(cx, request, service).await
         },
         _ => Err(not_found(&method, &path)),
     };
-    result.unwrap_or_else(|problem| from_problem(&problem))
+    result.unwrap_or_else(|problem| problem_answer(&problem))
 }
 
-/// Paths of plain services.
+/// Path prefix of plain services.
 const SERVICES: &str = "/v1/services/";
-/// Paths of requests.
+/// Path prefix of request look-ups.
 const REQUESTS: &str = "/v1/requests/";
 
 fn not_found(method: &Method, path: &str) -> Problem {
@@ -71,65 +71,65 @@
     Problem::not_run(StatusCode::NOT_FOUND, "unknown_path", detail)
 }
 
-fn ready(cx: &Context) -> Answer {
+fn readiness(cx: &Context) -> Answer {
     match cx.shared.closed(cx.shared.clock.now()) {
-        None => whole(200, "text/plain", "ready\n".into()),
-        Some(closed) => from_problem(&Problem::from(closed)),
+        None => whole_answer(200, "text/plain", "ready\n".into()),
+        Some(closed) => problem_answer(&Problem::from(closed)),
     }
 }
 
-/// A request as it came, before anything is decided.
-struct Arrival {
+/// A request that was read but not routed yet.
+struct ReceivedRequest {
     account: Account,
-    caller: CallerHeaders,
+    headers: CallerHeaders,
     body: Bytes,
     id: RequestId,
 }
 
-async fn take_chat(cx: &Context, request: Request<Incoming>) -> Result<Answer, Problem> {
-    let arrival = arrive(cx, request).await?;
-    let chat: ChatRequest = serde_json::from_slice(&arrival.body).map_err(|error| {
+async fn handle_chat(cx: &Context, request: Request<Incoming>) -> Result<Answer, Problem> {
+    let received = receive(cx, request).await?;
+    let chat: ChatRequest = serde_json::from_slice(&received.body).map_err(|error| {
         let detail = format!("body: {error}; send a JSON object with `messages`");
         Problem::not_run(StatusCode::BAD_REQUEST, "malformed_body", detail)
     })?;
-    let manner = if chat.stream { Manner::Streamed } else { Manner::Whole };
-    let meta = RequestMeta { version: chat.version(), ..meta_of(&arrival) };
-    Ok(take(cx, arrival, meta, Work::Chat(chat), manner).await)
+    let mode = if chat.stream { AnswerMode::Streamed } else { AnswerMode::Whole };
+    let meta = RequestMeta { version: chat.version(), ..request_meta(&received) };
+    Ok(start_and_answer(cx, received, meta, RequestKind::Chat(chat), mode).await)
 }
 
-async fn take_call(cx: &Context, request: Request<Incoming>, service: String) -> Result<Answer, Problem> {
+async fn handle_service_call(cx: &Context, request: Request<Incoming>, service: String) -> Result<Answer, Problem> {
     let content_type = request.headers().get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
     let content_type = content_type.unwrap_or("application/octet-stream").to_owned();
     let path = request.uri().path().to_owned();
-    let arrival = arrive(cx, request).await?;
-    let meta = RequestMeta { service: Some(service), ..meta_of(&arrival) };
-    Ok(take(cx, arrival, meta, Work::Plain { content_type, path }, Manner::Whole).await)
+    let received = receive(cx, request).await?;
+    let meta = RequestMeta { service: Some(service), ..request_meta(&received) };
+    Ok(start_and_answer(cx, received, meta, RequestKind::Plain { content_type, path }, AnswerMode::Whole).await)
 }
 
-fn meta_of(arrival: &Arrival) -> RequestMeta {
+fn request_meta(received: &ReceivedRequest) -> RequestMeta {
     RequestMeta {
-        class: arrival.caller.class.clone(),
-        session_token: arrival.caller.session.clone().filter(|token| !token.is_empty()),
-        bucketing_id: arrival.id.clone(),
-        has_key: arrival.caller.key.is_some(),
+        class: received.headers.class.clone(),
+        session_token: received.headers.session.clone().filter(|token| !token.is_empty()),
+        bucketing_id: received.id.clone(),
+        has_key: received.headers.idempotency_key.is_some(),
         ..RequestMeta::default()
     }
 }
 
-/// Reads a request: who sent it, its headers and its body.
-async fn arrive(cx: &Context, request: Request<Incoming>) -> Result<Arrival, Problem> {
+/// Authenticates the caller and reads the headers and the body of a request.
+async fn receive(cx: &Context, request: Request<Incoming>) -> Result<ReceivedRequest, Problem> {
     let limits = &cx.shared.settings.limits;
     let (head, body) = request.into_parts();
     check_headers(&head.headers, limits.max_header_bytes)?;
-    let account = account_of(cx, &head.headers)?;
-    let caller = caller_headers::read(&head.headers)?;
+    let account = authenticate_account(cx, &head.headers)?;
+    let headers = caller_headers::parse_headers(&head.headers)?;
     let collected = Limited::new(body, limits.max_body_bytes).collect();
     let Ok(collected) = timeout(Duration::from_millis(limits.read_timeout_ms), collected).await else {
         let detail = "body: it did not come in time; send it without long pauses";
         return Err(Problem::not_run(StatusCode::REQUEST_TIMEOUT, "slow_body", detail));
     };
-    let body = collected.map_err(|error| bad_body(error.as_ref(), limits.max_body_bytes))?.to_bytes();
-    Ok(Arrival { account, caller, body, id: cx.shared.new_request_id() })
+    let body = collected.map_err(|error| body_problem(error.as_ref(), limits.max_body_bytes))?.to_bytes();
+    Ok(ReceivedRequest { account, headers, body, id: cx.shared.new_request_id() })
 }
 
 fn check_headers(headers: &HeaderMap, limit: usize) -> Result<(), Problem> {
@@ -141,7 +141,7 @@
     Err(Problem::not_run(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "headers_too_large", detail))
 }
 
-fn bad_body(error: &(dyn std::error::Error + Send + Sync + 'static), limit: usize) -> Problem {
+fn body_problem(error: &(dyn std::error::Error + Send + Sync + 'static), limit: usize) -> Problem {
     if error.is::<LengthLimitError>() {
         let detail = format!("body: it may have {limit} bytes; send a shorter one");
         return Problem::not_run(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", detail);
@@ -149,70 +149,84 @@
     Problem::not_run(StatusCode::BAD_REQUEST, "broken_body", format!("body: {error}; send it whole"))
 }
 
-fn account_of(cx: &Context, headers: &HeaderMap) -> Result<Account, Problem> {
-    let key = caller_headers::bearer(headers).unwrap_or_default();
+fn authenticate_account(cx: &Context, headers: &HeaderMap) -> Result<Account, Problem> {
+    let key = caller_headers::bearer_token(headers).unwrap_or_default();
     let catalog = cx.shared.catalog.load();
     authenticate(&catalog, key).cloned().map_err(|refusal| Problem::from(&refusal))
 }
 
-/// Takes a request on, or refuses it, and answers its caller.
-async fn take(cx: &Context, arrival: Arrival, meta: RequestMeta, work: Work, manner: Manner) -> Answer {
-    let patience = arrival.caller.patience;
-    let entry = Arc::new(RequestEntry::new(arrival.id.clone(), arrival.account.id.clone()));
-    match admit(cx, arrival, &meta, &entry).await {
-        Ok(job) => cx.spawn(run(job, work)),
-        Err(end) => entry.end(end),
+/// Starts or refuses a request, and answers its caller.
+async fn start_and_answer(
+    cx: &Context,
+    received: ReceivedRequest,
+    meta: RequestMeta,
+    kind: RequestKind,
+    mode: AnswerMode,
+) -> Answer {
+    let wait_limit = received.headers.wait_limit;
+    let entry = Arc::new(RequestEntry::new(received.id.clone(), received.account.id.clone()));
+    match prepare(cx, received, &meta, &entry).await {
+        Ok(request) => cx.spawn(execute(request, kind)),
+        Err(outcome) => entry.complete(outcome),
     }
-    answer(entry, manner, patience, cx.shared.clock).await
+    answer_when_ready(entry, mode, wait_limit, cx.shared.clock).await
 }
 
-/// Decides a request; what is refused has its end.
-async fn admit(cx: &Context, arrival: Arrival, meta: &RequestMeta, entry: &Arc<RequestEntry>) -> Result<Job, End> {
-    let keyed = keyed(cx, &arrival);
-    if let Some(keyed) = &keyed
-        && let Some(state) = ledger_client::find_key(cx, keyed.key.clone()).await
-        && let Some(end) = known(&state, keyed)
-        && !can_ask_again(cx, meta, &state)
+/// Prepares a request for its execution; the error is the outcome of a request that isn't executed.
+async fn prepare(
+    cx: &Context,
+    received: ReceivedRequest,
+    meta: &RequestMeta,
+    entry: &Arc<RequestEntry>,
+) -> Result<ActiveRequest, RequestOutcome> {
+    let idempotency_key = idempotency_key_for(cx, &received);
+    if let Some(idempotency_key) = &idempotency_key
+        && let Some(state) = ledger_client::find_key(cx, idempotency_key.claim_key.clone()).await
+        && let Some(outcome) = known_outcome(&state, idempotency_key)
+        && !may_ask_endpoint_again(cx, meta, &state)
     {
-        return Err(end);
+        return Err(outcome);
     }
-    let arrived = cx.shared.clock.now();
-    match check(cx, &arrival, meta, entry) {
-        Ok(decision) => Ok(Job {
+    let received_at = cx.shared.clock.now();
+    match route_and_admit(cx, &received, meta, entry) {
+        Ok(decision) => Ok(ActiveRequest {
             cx: cx.clone(),
             entry: entry.clone(),
             decision,
-            keyed,
-            body: arrival.body,
-            arrived,
+            idempotency_key,
+            body: received.body,
+            received_at,
             is_sent: AtomicBool::new(false),
             is_claimed: AtomicBool::new(false),
         }),
-        Err(problem) => Err(refuse(cx, keyed.as_ref(), &arrival.id, problem).await),
+        Err(problem) => Err(refuse(cx, idempotency_key.as_ref(), &received.id, problem).await),
     }
 }
 
-/// Whether a lost answer can be had from the endpoint, which recognises the key and won't run it again.
-fn can_ask_again(cx: &Context, meta: &RequestMeta, state: &KeyState) -> bool {
+/// Whether the endpoint can repeat a lost answer: one that deduplicates by key doesn't run the request again.
+fn may_ask_endpoint_again(cx: &Context, meta: &RequestMeta, state: &KeyState) -> bool {
     let catalog = cx.shared.catalog.load();
     let candidates = meta.service.as_ref().map_or(&[][..], |service| catalog.endpoints_of(service));
-    let recognises = endpoint_selection::endpoint_for_key(&catalog, candidates, "").is_some();
-    recognises && state.outcome == Some(Outcome::MayHaveRun)
+    let is_deduplicated = endpoint_selection::endpoint_for_key(&catalog, candidates, "").is_some();
+    is_deduplicated && state.outcome == Some(Outcome::MayHaveRun)
 }
 
-/// The key of a request that needs a claim; one that may be repeated but must not be lost is its own.
-fn keyed(cx: &Context, arrival: &Arrival) -> Option<Keyed> {
+/// Returns the idempotency key of a request that needs a claim.
+///
+/// A durable request without a key uses its own id as key.
+fn idempotency_key_for(cx: &Context, received: &ReceivedRequest) -> Option<IdempotencyKey> {
     let catalog = cx.shared.catalog.load();
-    let class = catalog.config.classes.get(&arrival.caller.class)?;
+    let class = catalog.config.classes.get(&received.headers.class)?;
     let needs_claim = !class.repeatable || class.durable;
-    let own = || class.durable.then(|| arrival.id.clone());
-    let key = arrival.caller.key.clone().or_else(own).filter(|_| needs_claim)?;
-    Some(Keyed::new(&arrival.account.id, &key, arrival.caller.attempt, &arrival.body))
+    let own = || class.durable.then(|| received.id.clone());
+    let key = received.headers.idempotency_key.clone().or_else(own).filter(|_| needs_claim)?;
+    Some(IdempotencyKey::new(&received.account.id, &key, received.headers.attempt, &received.body))
 }
 
-fn check(
+/// Decides the route of a request and admits it under the limits of its client account and of this VM.
+fn route_and_admit(
     cx: &Context,
-    arrival: &Arrival,
+    received: &ReceivedRequest,
     meta: &RequestMeta,
     entry: &Arc<RequestEntry>,
 ) -> Result<RoutingDecision, Problem> {
@@ -222,30 +236,30 @@
         return Err(Problem::from(closed));
     }
     let (catalog, evidence) = (shared.catalog.load(), shared.evidence.load());
-    let decision = decide_route(&catalog, &arrival.account, meta, &evidence, &mut *shared.rng(), now)
+    let decision = decide_route(&catalog, &received.account, meta, &evidence, &mut *shared.rng(), now)
         .map_err(|refusal| Problem::from(&refusal))?;
-    shared.admission().admit(&arrival.account, shared.sharers(), now)?;
+    shared.admission().admit(&received.account, shared.sharers(), now)?;
     if shared.requests.insert(entry.clone(), shared.settings.limits.max_requests) {
         return Ok(decision);
     }
-    shared.admission().release(&arrival.account.id);
+    shared.admission().release(&received.account.id);
     let detail = "this VM has as many requests in progress as it may; try another";
-    Err(Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "vm_full", detail).with_retry_after(COME_BACK))
+    Err(Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "vm_full", detail).with_retry_after(RETRY_DELAY))
 }
 
-/// Tells what became of a request, whichever VM took it.
+/// Answers with the status or the outcome of a request, whichever VM received it.
 async fn look_up(cx: &Context, headers: &HeaderMap, id: &str) -> Result<Answer, Problem> {
-    let account = account_of(cx, headers)?;
-    if let Some(answer) = looked_up(id, cx.shared.requests.look_up(id, &account.id)) {
+    let account = authenticate_account(cx, headers)?;
+    if let Some(answer) = status_answer(id, cx.shared.requests.look_up(id, &account.id)) {
         return Ok(answer);
     }
     if let Some((_, state)) =
         ledger_client::find_request(cx, id.to_owned()).await.filter(|(key, _)| key.account == account.id)
         && let Some(outcome) = &state.outcome
     {
-        return Ok(ended(id, stored(outcome, &id.to_owned())));
+        return Ok(outcome_answer(id, stored_outcome(outcome, &id.to_owned())));
     }
-    if let Some(answer) = looked_up(id, ask_its_vm(cx, id, &account.id).await) {
+    if let Some(answer) = status_answer(id, ask_receiving_vm(cx, id, &account.id).await) {
         return Ok(answer);
     }
     let detail = "the request is not known here, nor at the VM that took it; it may have run, and if it has a key, \
@@ -253,22 +267,22 @@
     Err(Problem::may_have_run(StatusCode::NOT_FOUND, "unknown_request", detail).with_request_id(id))
 }
 
-/// Asks the VM whose name the id carries.
-async fn ask_its_vm(cx: &Context, id: &str, account: &str) -> RequestStatus {
+/// Asks the VM that received a request, whose id is the first part of the request id.
+async fn ask_receiving_vm(cx: &Context, id: &str, account: &str) -> RequestStatus {
     let vm: VmId = id.split('.').next().unwrap_or_default().to_owned();
     if vm == *cx.shared.vm() {
         return RequestStatus::Unknown;
     }
     let ask = PeerAsk::new(id.to_owned(), account.to_owned());
-    let Some(PeerReply::Answer(found)) = members::call_peer(cx, vm, PeerRequest::Ask(ask)).await else {
+    let Some(PeerReply::Answer(answer)) = members::call_peer(cx, vm, PeerRequest::Ask(ask)).await else {
         return RequestStatus::Unknown;
     };
-    match found.state.as_str() {
+    match answer.state.as_str() {
         "pending" => RequestStatus::Pending,
         "answered" => RequestStatus::Ended {
-            status: found.status.and_then(|status| u16::try_from(status).ok()).unwrap_or(200),
-            content_type: found.content_type.unwrap_or_default(),
-            body: found.body.unwrap_or_default().into(),
+            status: answer.status.and_then(|status| u16::try_from(status).ok()).unwrap_or(200),
+            content_type: answer.content_type.unwrap_or_default(),
+            body: answer.body.unwrap_or_default().into(),
         },
         _ => RequestStatus::Unknown,
     }
--- a/havengrade_router/src/traffic/server.rs
+++ b/havengrade_router/src/traffic/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server for callers.
+//! HTTP server for callers.
 
 use std::{convert::Infallible, pin::pin, time::Duration};
 
@@ -12,12 +12,12 @@
     traffic::routes,
 };
 
-/// Time for which nothing is accepted after an error of the listener.
+/// Pause after the listener failed to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Headers that a request may have; more are refused by the library.
+/// Most headers of a request; hyper rejects a request with more.
 const MAX_HEADERS: usize = 128;
 
-/// Accepts callers' connections until the router ends.
+/// Accepts connections of callers until the router stops.
 pub async fn serve(cx: Context, mut listener: Box<dyn Listener>) {
     loop {
         match listener.accept().await {
@@ -37,15 +37,15 @@
     let limits = &cx.shared.settings.limits;
     let service = service_fn(|request: Request<Incoming>| {
         let cx = cx.clone();
-        async move { Ok::<_, Infallible>(routes::route(&cx, request).await) }
+        async move { Ok::<_, Infallible>(routes::handle_request(&cx, request).await) }
     });
-    // Headers are read into a buffer of twice the limit, so that we can refuse those over it by our own
-    // answer; what doesn't fit even there is refused by the library.
+    // The buffer holds twice the header limit, so that the router itself can refuse headers over the limit with a
+    // problem; hyper rejects headers that don't fit into the buffer.
     let mut connection = pin!(
         http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(Duration::from_millis(limits.read_timeout_ms))
-            .max_buf_size((limits.max_header_bytes * 2).max(MIN_BUFFER))
+            .max_buf_size((limits.max_header_bytes * 2).max(MIN_BUFFER_BYTES))
             .max_headers(MAX_HEADERS)
             .half_close(true)
             .serve_connection(TokioIo::new(connection), service)
@@ -63,5 +63,5 @@
     }
 }
 
-/// Smallest buffer that the library takes, in bytes.
-const MIN_BUFFER: usize = 8192;
+/// Smallest buffer size that hyper accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8192;
