--- a/havengrade_router/src/published/event_timer.rs
+++ b/havengrade_router/src/published/event_timer.rs
@@ -1,34 +1,36 @@
-//! How fast the events of a stream follow each other.
+//! Measures the time per event of a stream.
 
 use std::time::{Duration, SystemTime};
 
-/// Events behind the first over which the pace is measured: soon enough to judge a version by streams that still run.
+/// Number of events after the first one over which the time per event is measured: small enough to evaluate a version
+/// by streams that still run.
 const MEASURED_EVENTS: u32 = 4;
 
-/// The pace of one run of a stream, measured once.
+/// Measures the time per event of one run of a stream, once.
 #[derive(Debug, Default)]
 pub(super) struct EventTimer {
-    first: Option<SystemTime>,
-    /// Events behind the first ones.
+    first_at: Option<SystemTime>,
+    /// Number of events after the first record.
     events: u32,
     is_measured: bool,
 }
 
 impl EventTimer {
-    /// Takes events that came at `now`; gives the mean time between two once enough have come.
+    /// Records events received at `now`; returns the mean time per event once enough of them have been received.
     pub(super) fn record_events(&mut self, events: u32, now: SystemTime) -> Option<Duration> {
-        if self.first.is_none() {
-            self.first = Some(now);
+        if self.first_at.is_none() {
+            self.first_at = Some(now);
             return None;
         }
         self.events += events;
         if self.events < MEASURED_EVENTS { None } else { self.finish(now) }
     }
 
-    /// The mean time between two events where it was not given yet and events came; `now` is when the stream ended, or when
-    /// nobody waits any longer.
+    /// The mean time per event if it has not been returned yet and events were received.
+    ///
+    /// `now` is the time at which the stream ended, or from which nobody waits for it any longer.
     pub(super) fn finish(&mut self, now: SystemTime) -> Option<Duration> {
-        let since = self.first.filter(|_| !self.is_measured && self.events > 0)?;
+        let since = self.first_at.filter(|_| !self.is_measured && self.events > 0)?;
         self.is_measured = true;
         Some(now.duration_since(since).unwrap_or_default() / self.events)
     }
--- a/havengrade_router/src/published/known_vms.rs
+++ b/havengrade_router/src/published/known_vms.rs
@@ -1,4 +1,4 @@
-//! The other VMs that are known: read from the kept list, or told by a VM that reads it.
+//! The other VMs that this one knows: from the stored list, or from a reader of the store.
 
 use std::net::SocketAddr;
 
@@ -11,12 +11,12 @@
     state_fetch::{FetchTarget, fetch},
 };
 
-/// Where the VMs that are known hear reports.
+/// The addresses at which the known VMs receive reports.
 pub(super) fn peer_addresses(cx: &PublishedContext) -> Vec<SocketAddr> {
     cx.shared.peers().all().map(|peer| peer.address).collect()
 }
 
-/// Reads the kept list.
+/// Reads the stored list of VMs.
 pub(super) async fn read_list(cx: &PublishedContext, roster: &dyn Roster) -> Result<(), StoreError> {
     let listed = roster.read().await?;
     let now = cx.shared.clock.now();
@@ -29,12 +29,12 @@
     Ok(())
 }
 
-/// Asks one of the VMs that read the store whom it knows.
+/// Asks a random reader of the store for the VMs that it knows; returns whether it gave them.
 pub(super) async fn ask_reader(cx: &PublishedContext) -> bool {
     let Some(other) = random_reader(cx) else { return false };
     let fetched = fetch(cx, other, FetchTarget::Vms).await;
     if let Err(error) = &fetched {
-        log::info!("{other} did not tell whom it knows: {error}");
+        log::info!("{other} did not give the VMs that it knows: {error}");
     }
     fetched.is_ok()
 }
--- a/havengrade_router/src/published/part_cache.rs
+++ b/havengrade_router/src/published/part_cache.rs
@@ -1,13 +1,13 @@
-//! Texts that are bytes once for all VMs that ask for them.
+//! Cache of encoded state parts, so that each is encoded once for all VMs that ask for it.
 
 use std::io;
 
 use bytes::Bytes;
 
-/// A cached and the revision of what it says.
+/// An encoded part and the revision of its content.
 pub(super) type CachedPart = Option<(u64, Bytes)>;
 
-/// The texts that were bytes last; each is bytes once, since many VMs ask at the same time.
+/// The parts that were encoded last; many VMs ask for them at the same time.
 #[derive(Debug, Default)]
 pub(super) struct PartCache {
     pub(super) operators: CachedPart,
@@ -15,7 +15,7 @@
     pub(super) vms: CachedPart,
 }
 
-/// The cached of a revision, bytes unless it was the last one.
+/// The part at a revision, encoded anew unless the cached one has that revision.
 pub(super) fn get_or_encode(
     cached: &mut CachedPart,
     revision: u64,
--- a/havengrade_router/src/published/router.rs
+++ b/havengrade_router/src/published/router.rs
@@ -32,7 +32,7 @@
         registration::maintain_registration,
         rollouts::RolloutService,
         server::{metrics_page, readiness, serve_callers, serve_page},
-        shutdown::{BALANCER_NOTICE_TIME, shutdown_deadline},
+        shutdown::{BALANCER_NOTICE_TIME, shutdown_time_limit},
         state_server::serve_state,
     },
     router::Parts,
@@ -127,7 +127,7 @@
         let state = DrainState::Draining { since };
         loop {
             let unfinished = self.cx.tracked_tasks.len().max(self.cx.shared.in_progress.load(Ordering::Acquire));
-            match state.step(unfinished, shutdown_deadline(&self.cx), self.cx.shared.clock.now()) {
+            match state.step(unfinished, shutdown_time_limit(&self.cx), self.cx.shared.clock.now()) {
                 DrainStep::Serve | DrainStep::Wait => sleep(DRAIN_CHECK_INTERVAL).await,
                 DrainStep::Stop => return true,
                 DrainStep::StopAtDeadline => return false,
@@ -137,7 +137,7 @@
 
     /// Continues to serve until the balancer has noticed that this VM is no longer ready.
     async fn wait_for_balancer(&self, since: SystemTime) {
-        let notice_time = BALANCER_NOTICE_TIME.min(shutdown_deadline(&self.cx));
+        let notice_time = BALANCER_NOTICE_TIME.min(shutdown_time_limit(&self.cx));
         let elapsed = self.cx.shared.clock.now().duration_since(since).unwrap_or_default();
         sleep(notice_time.saturating_sub(elapsed)).await;
     }
--- a/havengrade_router/src/published/startup.rs
+++ b/havengrade_router/src/published/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a VM: it learns what is in force from others, or else from the store.
+//! The startup of a VM, which gets the active state from other VMs, or else from the store.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,28 +17,30 @@
     state_fetch::{FetchTarget, fetch},
 };
 
-/// Longest time between two rounds of questions, for a VM that nobody tells and that reads the store itself.
+/// Longest time between two rounds of requests, for a VM that reads the store itself since no other VM gave the state.
 const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(800);
 
-/// How much longer VMs spread their looks at the list of VMs at the first start of all: it is long, and whoever reads it greets the others.
+/// Factor by which VMs spread their reads of the list of VMs further at the first start of the fleet.
+///
+/// The list is long then, and the first VM that reads it greets the others, which need not read it any more.
 const FIRST_START_SPREAD: u32 = 8;
 
-/// Learns what is in force, and then lets the services follow the store.
+/// Gets the active state, and then allows the services to read the store.
 pub(super) async fn learn_state(cx: &PublishedContext, roster: &dyn Roster) {
     fetch_initial_state(cx, roster).await;
     feed_reader::start_reading(cx);
-    log::info!(vms = cx.shared.peers().len(); "what is in force is known");
+    log::info!(vms = cx.shared.peers().len(); "active state received");
 }
 
-/// Waits until another VM is heard, or the list of VMs is read; whoever reads it greets the others.
+/// Waits until another VM reports to this one, or reads the list of VMs and greets all VMs on it.
 pub(super) async fn discover_vms(cx: &PublishedContext, roster: &dyn Roster) {
     if !cx.uses_state_transfer {
-        // What is followed costs nothing, and nobody hands it on.
+        // Reads of the feeds cost nothing, and other VMs do not transfer the state.
         feed_reader::start_reading(cx);
     }
     let mut pause = listen_time(&mut *cx.shared.rng());
     if cx.shared.settings.published.is_first_start {
-        // Until the others are on the list as well.
+        // Leaves time for the others to register as well.
         pause = FIRST_START_LISTEN_TIME + pause * FIRST_START_SPREAD;
     }
     while timeout(pause, cx.shared.wait_for_peer()).await.is_err() {
@@ -47,21 +49,21 @@
             Err(error) => {
                 let uptime = cx.shared.uptime(cx.shared.clock.now());
                 pause = retry_delay(uptime, &mut *cx.shared.rng());
-                log::warn!("the list of VMs could not be read, {} ms until the next try: {error}", pause.as_millis());
+                log::warn!("the list of VMs could not be read, next attempt in {} ms: {error}", pause.as_millis());
             },
         }
     }
 }
 
-/// Asks others, round by round, until this VM knows what is in force.
+/// Asks other VMs, round by round, until this VM has the active state.
 async fn fetch_initial_state(cx: &PublishedContext, roster: &dyn Roster) {
-    let asked = cx.shared.clock.now();
+    let started_at = cx.shared.clock.now();
     let mut pause = ROUND_INTERVAL;
     for round in 0.. {
         if ask_round(cx, round).await {
             return;
         }
-        let step = with_starting_vm(cx, |starting| starting.next_step(asked, cx.shared.clock.now()));
+        let step = with_starting_vm(cx, |starting| starting.next_step(started_at, cx.shared.clock.now()));
         match step {
             NextStep::Ask => {},
             NextStep::ReadVmList => read_list_and_greet(cx, roster).await,
@@ -78,24 +80,24 @@
     }
 }
 
-/// Reads the list of VMs where nobody tells anything, and greets all on it.
+/// Reads the list of VMs, since no known VM gave the state, and greets all VMs on it.
 async fn read_list_and_greet(cx: &PublishedContext, roster: &dyn Roster) {
     match read_list(cx, roster).await {
         Ok(()) => peers::greet(cx, peer_addresses(cx)),
-        Err(error) => log::warn!("nobody tells what is in force, and the list of VMs could not be read: {error}"),
+        Err(error) => log::warn!("no other VM gave the active state, and the list of VMs could not be read: {error}"),
     }
 }
 
-/// Learns of all VMs, since whom this one hands on to takes them from it as well.
+/// Loads the list of VMs, which this VM sends along with the state that it transfers to others.
 async fn load_vm_list(cx: &PublishedContext, roster: &dyn Roster) {
     if !cx.shared.peers().is_list_loaded()
         && let Err(error) = read_list(cx, roster).await
     {
-        log::warn!("the list of VMs could not be read by a VM that reads for others: {error}");
+        log::warn!("the list of VMs could not be read by a reader of the store: {error}");
     }
 }
 
-/// What follows from this VM's start and what it knows of the others.
+/// Calls a function with the state of this VM's startup and the VMs that it knows.
 fn with_starting_vm<T>(cx: &PublishedContext, decide: impl FnOnce(StartingVm<'_>) -> T) -> T {
     let me = cx.own_peer();
     let peers = cx.shared.peers();
@@ -108,18 +110,18 @@
     })
 }
 
-/// Asks some others at the same time; tells whether one of them told everything.
+/// Asks some other VMs at the same time; returns whether one of them gave the whole state.
 async fn ask_round(cx: &PublishedContext, round: usize) -> bool {
     if !cx.uses_state_transfer {
         return false;
     }
-    let asked: Vec<SocketAddr> = with_starting_vm(cx, |starting| starting.peers_to_ask(round, &mut *cx.shared.rng()));
+    let peers: Vec<SocketAddr> = with_starting_vm(cx, |starting| starting.peers_to_ask(round, &mut *cx.shared.rng()));
     let mut answers: FuturesUnordered<_> =
-        asked.into_iter().map(|from| async move { (from, fetch(cx, from, FetchTarget::Everything).await) }).collect();
+        peers.into_iter().map(|from| async move { (from, fetch(cx, from, FetchTarget::Everything).await) }).collect();
     while let Some((from, fetched)) = answers.next().await {
         match fetched {
             Ok(()) => return true,
-            Err(error) => log::debug!("{from} did not tell what is in force: {error}"),
+            Err(error) => log::debug!("{from} did not give the active state: {error}"),
         }
     }
     false
