--- a/havengrade_router/src/published/active_request.rs
+++ b/havengrade_router/src/published/active_request.rs
@@ -1,4 +1,4 @@
-//! A request on its way: what is known of it, and how it is let in.
+//! A request in progress: its state and its admission.
 
 use std::{
     sync::OnceLock,
@@ -23,57 +23,57 @@
     context::PublishedContext, ports::RequestAttributes, refusal::Refusal, shutdown::may_outlast_shutdown,
 };
 
-/// Time after which a first event is looked for elsewhere, as a multiple of the route's target.
+/// Time to the first event after which another endpoint is tried, as a multiple of the route's target.
 const FIRST_EVENT_TIMEOUT_FACTOR: f64 = 1.5;
-/// Time after which a whole answer is looked for elsewhere, as a multiple of the route's target.
+/// Time to a whole answer after which another endpoint is tried, as a multiple of the route's target.
 const WHOLE_ANSWER_TIMEOUT_FACTOR: f64 = 3.0;
-/// Age of the configuration up to which an unknown route or key is believed to be unknown.
+/// Age of the configuration up to which a route or key that it lacks is refused as unknown.
 const MAX_TRUSTED_CONFIG_AGE: Duration = Duration::from_millis(2500);
 
-/// A request on its way.
+/// A request in progress.
 #[derive(Clone)]
 pub(super) struct ActiveRequest {
-    /// Id of this attempt of the caller.
+    /// Id that the caller gave this attempt.
     pub(super) id: String,
-    /// The request's head.
+    /// Method, URI and headers.
     pub(super) head: request::Parts,
-    /// Its whole body.
+    /// Whole body.
     pub(super) body: Bytes,
-    /// What its headers say.
+    /// Attributes that the caller's headers give.
     pub(super) attributes: RequestAttributes,
-    /// Its route.
+    /// Matched route.
     pub(super) route: PublishedRoute,
-    /// The service that answers.
+    /// Service that answers.
     pub(super) service: ServiceId,
-    /// Client account.
+    /// Client account; none where the route needs no key.
     pub(super) account: Option<AccountId>,
-    /// Urgency, 0 before 1.
+    /// Priority; 0 is the most urgent.
     pub(super) priority: u8,
     /// Model that the router chose.
     pub(super) model: Option<String>,
-    /// When it arrived.
+    /// When its head was read.
     pub(super) received_at: SystemTime,
-    /// When its answer must have ended.
+    /// Time by which the answer must be complete.
     pub(super) deadline: SystemTime,
-    /// Whether the next try was taken out of the retry budget already.
+    /// Whether the retry budget has already been charged for the next attempt.
     pub(super) has_reserved_retry: bool,
-    /// Whether it is the one by which a request that was held back is tried once more.
+    /// Whether this is the trial that decides if a quarantined request is released.
     pub(super) is_quarantine_trial: bool,
-    /// What it is known by, once that was asked for.
+    /// Cached result of [`Self::fingerprint`].
     fingerprint: OnceLock<RequestFingerprint>,
-    /// Tries so far.
+    /// Attempts so far.
     pub(super) attempts: Attempts,
-    /// Endpoints that were tried.
+    /// Endpoints of the attempts so far.
     pub(super) tried_endpoints: Vec<EndpointId>,
 }
 
 impl ActiveRequest {
-    /// Whether it needs a key that holds.
+    /// Whether the request needs a valid key.
     pub(super) fn requires_key(&self) -> bool {
         self.account.is_some()
     }
 
-    /// What it is known by over all its repeats: host, path, client account and body; worked out when it is first asked for.
+    /// Identifies the request across repeats, by method, host, path, client account and body; computed on first use.
     pub(super) fn fingerprint(&self) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             let host = self.head.headers.get(header::HOST).map(|host| host.as_bytes().to_ascii_lowercase());
@@ -88,17 +88,17 @@
         })
     }
 
-    /// Time until its answer must have ended.
+    /// Time until the deadline.
     pub(super) fn time_left(&self, now: SystemTime) -> Duration {
         self.deadline.duration_since(now).unwrap_or_default()
     }
 
-    /// Time for which an endpoint may be silent before another one is tried; all that is left where none may be.
+    /// Time to wait for an endpoint before another one is tried; all the time left if no further attempt is allowed.
     pub(super) fn attempt_timeout(&self, now: SystemTime) -> Duration {
-        let mut after = self.attempts.clone();
-        after.record(RunState::MayHaveRun);
+        let mut attempts = self.attempts.clone();
+        attempts.record(RunState::MayHaveRun);
         let left = self.time_left(now);
-        if !after.may_try_again() {
+        if !attempts.may_try_again() {
             return left;
         }
         let factor = match self.route.shape {
@@ -108,7 +108,7 @@
         self.route.target.mul_f64(factor).min(left)
     }
 
-    /// The refusal that says no more than is true.
+    /// Selects the refusal by whether it is guaranteed that the request did not run.
     pub(super) fn refusal(&self, if_not_run: Refusal, if_unknown: Refusal) -> Refusal {
         match self.attempts.guarantee() {
             Guarantee::NotRun => if_not_run,
@@ -117,7 +117,7 @@
     }
 }
 
-/// Reads a request and finds its route and account.
+/// Reads a request and determines its route, client account, deadline and model.
 pub(super) async fn admit(
     cx: &PublishedContext,
     head: request::Parts,
@@ -157,11 +157,11 @@
         .lets_router_choose_model
         .then(|| model_choice::initial_model(&route.models, may_escalate).cloned())
         .flatten();
-    let (account, own_priority) = account.unzip();
+    let (account, account_priority) = account.unzip();
     Ok(ActiveRequest {
         id,
         attempts: Attempts::new(repeat, route.max_tries),
-        priority: own_priority.flatten().unwrap_or(route.priority),
+        priority: account_priority.flatten().unwrap_or(route.priority),
         deadline: received_at + time_limit,
         head,
         body,
@@ -178,12 +178,13 @@
     })
 }
 
-/// A refusal as unknown, unless the configuration is too old to say so.
+/// Returns the given refusal, or [`Refusal::StaleConfig`] if the configuration is too old for it.
 fn refuse_unknown(cx: &PublishedContext, refusal: Refusal, now: SystemTime) -> Refusal {
     let is_trusted = cx.shared.config_age(now).is_some_and(|age| age <= MAX_TRUSTED_CONFIG_AGE);
     if is_trusted { refusal } else { Refusal::StaleConfig }
 }
 
+/// Client account and its priority; none where the route needs no key.
 type AccountAndPriority = Option<(AccountId, Option<u8>)>;
 
 fn find_account(
@@ -204,9 +205,9 @@
     Ok(Some((account.name.clone(), account.priority)))
 }
 
-/// Refuses a head that names no host, or several.
+/// Refuses requests of other versions than HTTP/1.1 and those without exactly one host.
 fn check_host(head: &request::Parts) -> Result<(), Refusal> {
     let hosts = head.headers.get_all(header::HOST).iter().count();
-    let is_plain = hosts == 1 && head.version == Version::HTTP_11;
-    if is_plain { Ok(()) } else { Err(Refusal::Malformed) }
+    let is_valid = hosts == 1 && head.version == Version::HTTP_11;
+    if is_valid { Ok(()) } else { Err(Refusal::Malformed) }
 }
--- a/havengrade_router/src/published/context.rs
+++ b/havengrade_router/src/published/context.rs
@@ -1,4 +1,4 @@
-//! What the services and the traffic of published routes share.
+//! State that the services and the traffic of published routes share.
 
 use std::{
     collections::HashMap,
@@ -47,62 +47,63 @@
     shared::lock,
 };
 
-/// Endpoints by the service that they belong to.
+/// Endpoints by service.
 pub type EndpointsByService = HashMap<ServiceId, Vec<ListedEndpoint>>;
 
-/// State of a router of published routes.
+/// Shared state of a router of published routes.
 pub struct PublishedState {
-    /// Settings that the router was started with.
+    /// Settings at the start of the router.
     pub settings: Settings,
-    /// Settings of published routes in force.
+    /// Active settings of published routes.
     published_settings: ArcSwap<PublishedSettings>,
-    /// Run of this process.
+    /// Identifies this run of the process.
     pub incarnation: Incarnation,
     /// When this process started.
-    started: SystemTime,
-    /// The clock.
+    started_at: SystemTime,
+    /// Clock of the router.
     pub clock: Clock,
-    /// How requests and answers are written.
+    /// Reads and writes the headers of requests and answers.
     pub dialect: Box<dyn Dialect>,
-    /// Configuration in force.
+    /// Active configuration.
     pub routes: ArcSwap<RouteTable>,
-    /// Endpoints that may receive new work.
+    /// Endpoints that may receive new requests.
     pub usable_endpoints: ArcSwap<EndpointsByService>,
-    /// Failure domains whose endpoints are to get nothing.
+    /// Failure domains whose endpoints receive no requests.
     pub emptied_domains: ArcSwap<EmptiedDomains>,
-    /// How this VM stands to the store.
+    /// Whether this VM reads the store, and the positions that it has reached.
     pub store: StoreAccess,
-    /// What is known of each endpoint's state.
+    /// Load, failures and availability of each endpoint.
     pub endpoint_states: EndpointTable,
-    /// Connections to endpoints.
+    /// Persistent connections to endpoints.
     pub connection_pool: ConnectionPool,
-    /// Whether what is in force was taken from another VM at least once.
+    /// Whether another VM has transferred the active state to this VM at least once.
     pub(super) has_received_state: AtomicBool,
-    /// Whether what is in force is being taken from another VM.
+    /// Whether a transfer of the active state from another VM is in progress.
     pub(super) is_receiving_state: AtomicBool,
-    /// What was told meanwhile.
+    /// Fetch that was requested during the transfer in progress.
     pub(super) pending_fetch: Mutex<PendingFetch>,
-    /// What is handed on to other VMs.
+    /// Encoded parts of the active state for transfers to other VMs.
     pub(super) part_cache: Mutex<PartCache>,
-    /// To whom it is handed on.
+    /// Limits the transfers to other VMs.
     pub(super) transfer_limiter: Mutex<TransferLimiter>,
-    /// Tells those who wait that another VM became known.
+    /// Notifies waiting tasks that another VM became known.
     peer_known: Notify,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub in_progress: AtomicUsize,
+    /// When the active configuration was last known to be the newest, in ms since the Unix epoch; 0 for never.
     config_confirmed_ms: AtomicU64,
     knows_endpoints: AtomicBool,
-    /// Tells those who wait that the configuration or the endpoints became known.
-    learned: Notify,
-    /// When a planned stop began, in milliseconds since the Unix epoch; 0 for not yet.
+    /// Notifies waiting tasks that the configuration or the endpoints became known.
+    state_learned: Notify,
+    /// When the graceful shutdown began, in milliseconds since the Unix epoch; 0 before.
     drain_since_ms: AtomicU64,
     rollouts: Mutex<Rollouts>,
     peers: Mutex<Peers>,
     store_reads: Mutex<StoreReadReports>,
-    /// The retries that this VM may still make.
+    /// Retries that this VM may still send, by service.
     pub retry_budgets: RetryBudgets,
     quarantine: Mutex<Quarantine>,
-    /// Tells the keeper of the quarantine that it changed.
+    /// Notifies the task that synchronizes the quarantine list.
     quarantine_changed: Notify,
     /// When an endpoint last answered this VM, in milliseconds since the Unix epoch; 0 for never.
     last_answer_ms: AtomicU64,
@@ -112,7 +113,7 @@
 }
 
 impl PublishedState {
-    /// The state of a router that has just started.
+    /// Creates the state of a router that has just started.
     pub fn new(
         settings: Settings,
         clock: Clock,
@@ -123,9 +124,9 @@
         let connect_timeout = Duration::from_millis(settings.endpoints.connect_timeout_ms);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         Self {
-            // The sign is given up so that ids pass through the schema's signed integers.
+            // 63 bits fit into the signed integers of the schema.
             incarnation: rng.next_u64() >> 1,
-            started: clock.now(),
+            started_at: clock.now(),
             clock,
             dialect,
             routes: ArcSwap::default(),
@@ -143,7 +144,7 @@
             in_progress: AtomicUsize::new(0),
             config_confirmed_ms: AtomicU64::new(0),
             knows_endpoints: AtomicBool::new(false),
-            learned: Notify::new(),
+            state_learned: Notify::new(),
             drain_since_ms: AtomicU64::new(0),
             rollouts: Mutex::default(),
             peers: Mutex::default(),
@@ -160,80 +161,80 @@
         }
     }
 
-    /// Settings of published routes in force; addresses are those of the start.
+    /// Active settings of published routes; addresses stay those of the start.
     pub fn published_settings(&self) -> Arc<PublishedSettings> {
         self.published_settings.load_full()
     }
 
-    /// Puts settings of published routes in force.
+    /// Activates new settings of published routes.
     pub fn apply_settings(&self, settings: PublishedSettings) {
         self.retry_budgets.set_ratio(settings.retry_ratio);
         self.published_settings.store(Arc::new(settings));
     }
 
-    /// Notes that nothing newer than the configuration in force existed at `at`.
+    /// Records that the active configuration was the newest at `at`.
     pub fn confirm_config(&self, at: SystemTime) {
         self.config_confirmed_ms.fetch_max(to_millis(at), Ordering::AcqRel);
     }
 
-    /// When nothing newer than the configuration in force existed, as far as is known.
+    /// The last time at which the active configuration was known to be the newest.
     pub fn config_confirmed_at(&self) -> Option<SystemTime> {
         from_millis(self.config_confirmed_ms.load(Ordering::Acquire))
     }
 
-    /// Whether a request with a key may be sent to an endpoint now.
+    /// Whether requests with a key may be sent to endpoints, given the age of the configuration.
     pub fn may_use_key(&self, now: SystemTime) -> bool {
         let settings = self.published_settings.load();
         settings.withdrawal.may_use_key(self.config_confirmed_at(), Duration::from_millis(settings.withdrawal_ms), now)
     }
 
-    /// Age of the configuration in force: time since nothing newer existed for sure.
+    /// Age of the active configuration: time since it was last known to be the newest.
     pub fn config_age(&self, now: SystemTime) -> Option<Duration> {
         self.config_confirmed_at().map(|at| now.duration_since(at).unwrap_or_default())
     }
 
     /// Time since this process started.
     pub fn uptime(&self, now: SystemTime) -> Duration {
-        now.duration_since(self.started).unwrap_or_default()
+        now.duration_since(self.started_at).unwrap_or_default()
     }
 
-    /// Notes that the endpoints have been listed once.
+    /// Records that the list of endpoints has been read once.
     pub fn set_endpoints_known(&self) {
         if !self.knows_endpoints.swap(true, Ordering::AcqRel) {
             self.notify_state_learned();
         }
     }
 
-    /// Tells those who wait for it that something became known.
+    /// Notifies the tasks that wait for the configuration, the endpoints or the states of roll-outs.
     pub fn notify_state_learned(&self) {
-        self.learned.notify_waiters();
+        self.state_learned.notify_waiters();
     }
 
-    /// Puts a configuration in force.
+    /// Activates a configuration.
     pub fn set_routes(&self, routes: RouteTable) {
         self.routes.store(Arc::new(routes));
         self.notify_state_learned();
     }
 
-    /// Whether this VM knows where requests go: a configuration and the endpoints.
+    /// Whether this VM can route requests: it has a configuration and the endpoints.
     pub fn knows_routes(&self) -> bool {
         self.routes.load().version() > 0 && self.knows_endpoints()
     }
 
-    /// Whether the endpoints have been listed once.
+    /// Whether the list of endpoints has been read once.
     pub fn knows_endpoints(&self) -> bool {
         self.knows_endpoints.load(Ordering::Acquire)
     }
 
-    /// Whether this VM knows what operators wrote, if they wrote anything, and the endpoints.
+    /// Whether this VM has read the operators' records, of which there may be none, and the endpoints.
     pub fn knows_state(&self) -> bool {
         self.knows_endpoints() && self.store.view().operators_position.is_some()
     }
 
-    /// Waits until this VM knows what operators wrote and the endpoints.
+    /// Waits until this VM has read the operators' records and the endpoints.
     pub async fn wait_for_state(&self) {
         loop {
-            let learned = self.learned.notified();
+            let learned = self.state_learned.notified();
             if self.knows_state() {
                 return;
             }
@@ -252,15 +253,15 @@
         }
     }
 
-    /// Tells those who wait for it that another VM is known.
+    /// Notifies the tasks that wait for another VM.
     pub fn notify_peer_known(&self) {
         self.peer_known.notify_waiters();
     }
 
-    /// Waits until this VM knows where requests go, and how roll-outs of before its start stand.
+    /// Waits until this VM can route requests and knows the states of roll-outs that began before its start.
     pub async fn wait_for_routes_and_rollouts(&self) {
         loop {
-            let learned = self.learned.notified();
+            let learned = self.state_learned.notified();
             if self.knows_routes() && !self.rollouts().needs_statuses() {
                 return;
             }
@@ -268,7 +269,7 @@
         }
     }
 
-    /// Begins a planned stop; later calls have no effect.
+    /// Begins a graceful shutdown; later calls have no effect.
     pub fn start_drain(&self, now: SystemTime) {
         let begun = self.drain_since_ms.compare_exchange(0, to_millis(now), Ordering::AcqRel, Ordering::Acquire);
         if begun.is_ok() {
@@ -276,68 +277,68 @@
         }
     }
 
-    /// When a planned stop began, if one did.
+    /// When the graceful shutdown began.
     pub fn drain_since(&self) -> Option<SystemTime> {
         from_millis(self.drain_since_ms.load(Ordering::Acquire))
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether the graceful shutdown has begun.
     pub fn is_draining(&self) -> bool {
         self.drain_since().is_some()
     }
 
-    /// Whether new connections are welcome.
+    /// Whether this VM reports to the load balancer that it accepts new connections.
     pub fn is_ready(&self, now: SystemTime) -> bool {
         let needs_keys = self.routes.load().needs_keys();
         self.knows_routes() && !self.is_draining() && (!needs_keys || self.may_use_key(now))
     }
 
-    /// The roll-outs, locked for a moment.
+    /// Locks the roll-outs; hold the guard only briefly.
     pub fn rollouts(&self) -> MutexGuard<'_, Rollouts> {
         lock(&self.rollouts)
     }
 
-    /// What is known of requests that crash endpoints, locked for a moment.
+    /// Locks the quarantine of requests that crash endpoints; hold the guard only briefly.
     pub fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
         lock(&self.quarantine)
     }
 
-    /// Tells the keeper of the quarantine that it changed.
+    /// Wakes the task that synchronizes the quarantine list.
     pub fn notify_quarantine_changed(&self) {
         self.quarantine_changed.notify_one();
     }
 
-    /// Waits until the quarantine has changed.
+    /// Waits until the quarantine changes.
     pub async fn wait_for_quarantine_change(&self) {
         self.quarantine_changed.notified().await;
     }
 
-    /// Notes that an endpoint answered this VM.
+    /// Records that an endpoint answered this VM.
     pub fn record_answer_time(&self, now: SystemTime) {
         self.last_answer_ms.fetch_max(to_millis(now), Ordering::AcqRel);
     }
 
-    /// Whether an endpoint answered this VM lately.
+    /// Whether an endpoint answered this VM within `time` before `now`.
     pub fn has_answer_within(&self, time: Duration, now: SystemTime) -> bool {
         from_millis(self.last_answer_ms.load(Ordering::Acquire)).is_some_and(|at| now < at + time)
     }
 
-    /// The other VMs, locked for a moment.
+    /// Locks the other VMs; hold the guard only briefly.
     pub fn peers(&self) -> MutexGuard<'_, Peers> {
         lock(&self.peers)
     }
 
-    /// What others told this VM at its start of who reads the store, locked for a moment.
+    /// Locks the reports of other VMs, received at the start, on who reads the store; hold the guard only briefly.
     pub fn store_reads(&self) -> MutexGuard<'_, StoreReadReports> {
         lock(&self.store_reads)
     }
 
-    /// When this VM or another one surely was reading the store for those that start, if any was.
+    /// The last time at which this VM or another one is known to have read the store for VMs that start.
     pub fn last_store_read_at(&self, now: SystemTime) -> Option<SystemTime> {
         if self.store.is_reading_initial_state(now) { Some(now) } else { self.store_reads().last_read() }
     }
 
-    /// The operators' bounds on roll-outs.
+    /// Bounds on roll-outs from the operators' settings.
     pub fn rollout_bounds(&self) -> RolloutBounds {
         let settings = self.published_settings.load();
         RolloutBounds {
@@ -346,45 +347,45 @@
         }
     }
 
-    /// The parts of prompts that were sent to endpoints, locked for a moment.
+    /// Locks the prompt prefixes that were sent to endpoints; hold the guard only briefly.
     pub fn sent_prefixes(&self) -> MutexGuard<'_, SentPrefixes> {
         lock(&self.sent_prefixes)
     }
 
-    /// What holds back requests to endpoints, locked for a moment.
+    /// Locks the send limits of endpoints; hold the guard only briefly.
     pub fn send_limits(&self) -> MutexGuard<'_, SendLimits> {
         lock(&self.send_limits)
     }
 
-    /// The random numbers, locked for a moment.
+    /// Locks the random number generator; hold the guard only briefly.
     pub fn rng(&self) -> MutexGuard<'_, ChaCha8Rng> {
         lock(&self.rng)
     }
 }
 
-/// What every service of published routes is given.
+/// Context of every service of published routes.
 #[derive(Clone)]
 pub struct PublishedContext {
     /// State shared with traffic.
     pub shared: Arc<PublishedState>,
-    /// The network.
+    /// Opens connections and sockets.
     pub network: Arc<dyn Network>,
-    /// The kept list of requests that are held back.
+    /// Stored list of quarantined requests.
     pub quarantine_list: Arc<dyn QuarantineList>,
-    /// Ends the tasks of traffic.
+    /// Cancels all tasks that serve traffic.
     pub forced_shutdown: CancellationToken,
-    /// Makes callers' connections end with the answer that they are at.
+    /// Closes callers' connections after the answers in progress.
     pub graceful_shutdown: CancellationToken,
-    /// Callers' connections and whatever else a planned stop waits for.
+    /// Tasks that the graceful shutdown waits for, such as callers' connections.
     pub tracked_tasks: TaskTracker,
-    /// Whether VMs take what operators wrote from each other.
+    /// Whether VMs transfer the operators' records to each other.
     pub uses_state_transfer: bool,
-    /// Number of the router within the process, since the registry of actors is the process's.
+    /// Number of the router within the process; makes the names of actors unique in the registry of the process.
     pub router_number: u64,
 }
 
 impl PublishedContext {
-    /// This VM, as others know it.
+    /// Identity of this VM, as other VMs know it.
     pub fn own_peer(&self) -> Peer {
         let settings = &self.shared.settings;
         Peer {
--- a/havengrade_router/src/published/endpoint_choice.rs
+++ b/havengrade_router/src/published/endpoint_choice.rs
@@ -1,4 +1,4 @@
-//! The endpoint for a try at a request.
+//! Chooses the endpoint for an attempt, or the refusal if there is none.
 
 use std::time::SystemTime;
 
@@ -20,18 +20,18 @@
     send_limits::ServiceSendLimits,
 };
 
-/// An endpoint for a try, and the prompt tokens that it will have to read.
+/// An endpoint chosen for an attempt.
 #[derive(Clone, Debug)]
 pub(super) struct ChosenEndpoint {
-    /// The endpoint.
+    /// Chosen endpoint.
     pub(super) endpoint: ListedEndpoint,
-    /// Prompt tokens, in those of the largest model.
+    /// Prompt tokens that the endpoint has to process, weighted by the work of the model.
     pub(super) prompt_tokens: u32,
-    /// How busy it is.
+    /// Load of the endpoint.
     pub(super) load: Load,
 }
 
-/// The endpoint for the next try.
+/// Chooses the endpoint for the next attempt and reserves a send there.
 pub(super) fn choose_endpoint(
     cx: &PublishedContext,
     request: &ActiveRequest,
@@ -39,14 +39,14 @@
 ) -> Option<ChosenEndpoint> {
     loop {
         let chosen = choose_ready_endpoint(cx, request, now)?;
-        // Another request may have taken the last place there meanwhile.
+        // Another request may have reserved the last send to this endpoint in the meantime.
         if ServiceSendLimits::new(cx, request).try_reserve(&chosen.endpoint, now) {
             return Some(chosen);
         }
     }
 }
 
-/// The best of the endpoints that take another request now.
+/// Chooses the best endpoint whose send limits allow another request now.
 fn choose_ready_endpoint(cx: &PublishedContext, request: &ActiveRequest, now: SystemTime) -> Option<ChosenEndpoint> {
     let usable = cx.shared.usable_endpoints.load();
     let endpoints = outside_emptied_domains(cx, usable.get(&request.service)?);
@@ -60,7 +60,7 @@
     } else {
         eligible
     };
-    let (prompt, prefixes) = prompt(cx, request).unzip();
+    let (prompt, prefixes) = weighted_prompt(cx, request).unzip();
     let prefixes = prefixes.unwrap_or_default();
     let candidates = candidates(cx, eligible.into_iter().filter(has_room), &prefixes, now);
     let domain = &cx.shared.settings.vm.failure_domain;
@@ -79,13 +79,13 @@
     Some(ChosenEndpoint { endpoint, prompt_tokens: placed.tokens, load })
 }
 
-/// The endpoints that do not stand in an emptied failure domain.
+/// Returns the endpoints outside emptied failure domains.
 fn outside_emptied_domains<'a>(cx: &PublishedContext, endpoints: &'a [ListedEndpoint]) -> Vec<&'a ListedEndpoint> {
     let emptied = cx.shared.emptied_domains.load();
     endpoints.iter().filter(|endpoint| !emptied.is_emptied(&endpoint.failure_domain)).collect()
 }
 
-/// The endpoints of versions that may answer.
+/// Returns the endpoints whose versions may answer the request.
 fn with_allowed_version<'a>(
     cx: &PublishedContext,
     request: &ActiveRequest,
@@ -98,21 +98,21 @@
     let is_not_rolled_back = |endpoint: &&ListedEndpoint| !rollouts.is_rolled_back(&request.service, &endpoint.version);
     let not_rolled_back = endpoints.iter().copied().filter(is_not_rolled_back);
     let eligible: Vec<_> = not_rolled_back.clone().filter(|e| allowed.includes(&e.version)).collect();
-    let is_other = |endpoint: &&ListedEndpoint| !rollouts.is_target_version(&request.service, &endpoint.version);
+    let is_old = |endpoint: &&ListedEndpoint| !rollouts.is_target_version(&request.service, &endpoint.version);
     let has_affinity_to_old =
         matches!(&allowed, AllowedVersions::Only(version) if !rollouts.is_target_version(&request.service, version));
     if !eligible.is_empty()
         || !rollouts.may_use_any_version(&request.service)
-        || (has_affinity_to_old && endpoints.iter().any(is_other))
+        || (has_affinity_to_old && endpoints.iter().any(is_old))
     {
-        // Where another version has replaced that of the session, there is nothing that the session may go to.
+        // If another version has replaced that of the session, no endpoint may serve the session.
         return eligible;
     }
-    // The old version has left the list: the roll-out has ended, and this VM has not heard of it yet.
+    // The old version is no longer listed: the roll-out has ended, but its end has not reached this VM yet.
     not_rolled_back.collect()
 }
 
-/// The endpoints of old versions, for a request that a new one would have been tried with.
+/// Returns the endpoints of old versions, for a request that was assigned to the new version.
 fn with_old_version<'a>(
     cx: &PublishedContext,
     request: &ActiveRequest,
@@ -129,7 +129,7 @@
     endpoints.iter().copied().filter(is_old).filter(is_not_rolled_back).collect()
 }
 
-/// Why no endpoint was found for a request.
+/// Determines the refusal for a request for which [`choose_endpoint`] found no endpoint.
 pub(super) fn refusal_without_endpoint(cx: &PublishedContext, request: &ActiveRequest, now: SystemTime) -> Refusal {
     let usable = cx.shared.usable_endpoints.load();
     let listed = usable.get(&request.service).map(Vec::as_slice).unwrap_or_default();
@@ -151,25 +151,25 @@
     if !rollouts.may_use_any_version(&request.service) && endpoints.iter().all(is_bad) {
         return Refusal::BadVersion;
     }
-    let left = session.and_then(|session| rollouts.session_time_left(session, cx.shared.rollout_bounds(), now));
-    match left {
+    let time_left = session.and_then(|session| rollouts.session_time_left(session, cx.shared.rollout_bounds(), now));
+    match time_left {
         Some(left) if !endpoints.is_empty() => Refusal::SessionVersionGone { left },
         _ => Refusal::NoEndpoint,
     }
 }
 
-/// Connections to one endpoint of the request's service that this VM may have.
+/// Maximum number of connections of this VM to each endpoint of the request's service.
 fn connection_share(cx: &PublishedContext, request: &ActiveRequest) -> Option<u32> {
     let vms = cx.shared.peers().len() + 1;
     cx.shared.routes.load().service(&request.service)?.connection_share(vms)
 }
 
-/// Connections of this VM to an endpoint that are in use; kept ones are used before new ones are opened.
+/// Number of connections of this VM to an endpoint that are in use; idle ones are reused before new ones are opened.
 fn own_in_flight(cx: &PublishedContext, endpoint: &ListedEndpoint) -> u32 {
     cx.shared.endpoint_states.slot(&endpoint.id).map_or(0, |slot| slot.in_flight())
 }
 
-/// The endpoints with what is known of their load, and what they have cached of a prompt.
+/// Adds to each endpoint its known load and the prompt tokens that it has cached.
 fn candidates<'a>(
     cx: &PublishedContext,
     endpoints: impl Iterator<Item = &'a ListedEndpoint>,
@@ -187,7 +187,7 @@
     Candidate { endpoint, state: cx.shared.endpoint_states.state(&endpoint.id), work, cached_tokens: 0 }
 }
 
-/// The work in progress at an endpoint, of this VM and of the others as far as they told.
+/// Work in progress at an endpoint: that of this VM and that reported by other VMs.
 pub(super) fn known_work(cx: &PublishedContext, endpoint: &ListedEndpoint) -> Work {
     let own = cx.shared.endpoint_states.slot(&endpoint.id);
     let (requests, tokens) = own.map_or((0, 0), |slot| (slot.in_flight(), slot.unread()));
@@ -195,26 +195,26 @@
     Work { requests: requests + others.requests, tokens: tokens.saturating_add(others.tokens) }
 }
 
-/// The prompt of a generation, weighed by how much work its model is, and its beginnings that others share.
-fn prompt(cx: &PublishedContext, request: &ActiveRequest) -> Option<(Prompt, Vec<Prefix>)> {
+/// Returns the prompt of a generation, weighted by the work of its model, and the prefixes that others may share.
+fn weighted_prompt(cx: &PublishedContext, request: &ActiveRequest) -> Option<(Prompt, Vec<Prefix>)> {
     let total = request.attributes.tokens?.prompt;
     let routes = cx.shared.routes.load();
     let weight =
         routes.service(&request.service).map_or(1.0, |service| service.relative_work(request.model.as_deref()));
-    let weigh = |tokens: u32| (f64::from(tokens) * weight) as u32;
+    let weighted = |tokens: u32| (f64::from(tokens) * weight) as u32;
     let shared = request.attributes.prompt_parts.split_last().map_or(&[][..], |(_, shared)| shared);
-    // What is cached is cached for one model.
+    // Prompt caches are separate for each model.
     let model = request.model.as_deref().unwrap_or_default();
     let mut shared_tokens = 0u32;
     let prefix = |part: &PromptPart| {
         shared_tokens = shared_tokens.saturating_add(part.tokens).min(total);
-        Prefix { key: format!("{model}/{}", part.id), tokens: weigh(shared_tokens) }
+        Prefix { key: format!("{model}/{}", part.id), tokens: weighted(shared_tokens) }
     };
     let prefixes: Vec<Prefix> = shared.iter().map(prefix).collect();
     let prompt = Prompt {
         shared_prefix: prefixes.last().map(|prefix| prefix.key.clone()),
-        shared_tokens: weigh(shared_tokens),
-        own_tokens: weigh(total - shared_tokens),
+        shared_tokens: weighted(shared_tokens),
+        own_tokens: weighted(total - shared_tokens),
         sent_tokens: total,
     };
     Some((prompt, prefixes))
