--- a/havengrade_router/src/published/config_ports.rs
+++ b/havengrade_router/src/published/config_ports.rs
@@ -1,6 +1,6 @@
-//! Published routes over the router's own configuration: what it follows, and whom it tells.
+//! Ports of published routes over the router's own configuration.
 //!
-//! Every VM replays the configuration itself, so that reading it costs nothing.
+//! Every VM replays the configuration itself, so reading it is free.
 
 use std::{
     sync::Arc,
@@ -38,41 +38,41 @@
     shared::Shared,
 };
 
-/// Time between two looks at whether the configuration has changed.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Interval between two checks whether the configuration has changed.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The ports of published routes over the configuration that a router's services replay.
+/// Returns the ports of published routes over the configuration that a router's services replay.
 pub fn ports(cx: &Context) -> Ports {
     Ports {
-        dialect: Box::new(ConfiguredDialect { own: OwnDialect, shared: cx.shared.clone() }),
-        operators: Box::new(ConfigFeed::new(cx.shared.clone(), published)),
-        endpoints: Box::new(ConfigFeed::new(cx.shared.clone(), listed)),
+        dialect: Box::new(ConfigDialect { own: OwnDialect, shared: cx.shared.clone() }),
+        operators: Box::new(ConfigFeed::new(cx.shared.clone(), publication_event)),
+        endpoints: Box::new(ConfigFeed::new(cx.shared.clone(), endpoints_event)),
         statuses: Box::new(NoRollouts),
-        quarantine: Arc::new(ToldOnly),
-        roster: Box::new(ListedVms(cx.vm_list.clone())),
+        quarantine: Arc::new(UnstoredQuarantine),
+        roster: Box::new(PlatformRoster(cx.vm_list.clone())),
         uses_state_transfer: false,
     }
 }
 
 /// The router's own dialect, for callers and endpoints that don't know it.
 ///
-/// Callers may leave the id of their attempt to the router, and their keys are known by their digests, as accounts
-/// are configured. Endpoints neither echo the id nor sign their answers; where one echoes it, it must be the right one.
-struct ConfiguredDialect {
+/// Callers may omit the id of their attempt, and their keys are looked up by digest, as accounts are configured.
+/// Endpoints neither echo the id nor sign their answers; if an endpoint echoes an id, it must be that of the request.
+struct ConfigDialect {
     own: OwnDialect,
     shared: Arc<Shared>,
 }
 
-impl Dialect for ConfiguredDialect {
+impl Dialect for ConfigDialect {
     fn decode_request(&self, headers: &HeaderMap) -> RequestAttributes {
-        let facts = self.own.decode_request(headers);
-        let id = facts.id.or_else(|| Some(self.shared.new_request_id()));
-        let key = facts.key.map(|key| secret::digest_hex(key.as_bytes()));
-        RequestAttributes { id, key, ..facts }
+        let attributes = self.own.decode_request(headers);
+        let id = attributes.id.or_else(|| Some(self.shared.new_request_id()));
+        let key = attributes.key.map(|key| secret::digest_hex(key.as_bytes()));
+        RequestAttributes { id, key, ..attributes }
     }
 
-    fn encode_request(&self, headers: &mut HeaderMap, order: &ForwardAttributes<'_>) {
-        self.own.encode_request(headers, order);
+    fn encode_request(&self, headers: &mut HeaderMap, attributes: &ForwardAttributes<'_>) {
+        self.own.encode_request(headers, attributes);
     }
 
     fn decode_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Follows one part of the configuration in force; each change of the configuration is one event.
+/// Feed of one part of the active configuration, with one event for each change of the configuration.
 struct ConfigFeed<T> {
     shared: Arc<Shared>,
     position: Option<u64>,
@@ -100,10 +100,10 @@
 #[async_trait]
 impl<T: Send> Feed<T> for ConfigFeed<T> {
     async fn next(&mut self, wait: Duration) -> Result<Vec<T>, StoreError> {
-        let until = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         loop {
             if !self.shared.is_caught_up() {
-                return NotDoneSnafu { reason: "the configuration is not replayed yet" }.fail();
+                return NotDoneSnafu { reason: "the configuration has not been replayed yet" }.fail();
             }
             let catalog = self.shared.catalog.load_full();
             let position = catalog.config.revision.map_or(0, |offset| offset + 1);
@@ -111,10 +111,10 @@
                 self.position = Some(position);
                 return Ok(vec![(self.part)(&catalog.config, &self.shared)]);
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Ok(Vec::new());
             }
-            sleep(LOOK_EVERY).await;
+            sleep(CHECK_INTERVAL).await;
         }
     }
 
@@ -123,7 +123,7 @@
     }
 
     fn advance(&mut self, _position: u64) {
-        // What other VMs have replayed, this one replays itself.
+        // This VM replays the configuration itself, so it needs no state transfer.
     }
 
     fn confirmed_at(&self, asked: SystemTime) -> Option<SystemTime> {
@@ -131,15 +131,15 @@
     }
 }
 
-fn published(cfg: &Config, shared: &Shared) -> OperatorEvent {
+fn publication_event(cfg: &Config, shared: &Shared) -> OperatorEvent {
     OperatorEvent::Publication(publication(cfg, caller_limits(shared)))
 }
 
-fn listed(cfg: &Config, _shared: &Shared) -> DirectoryEvent {
+fn endpoints_event(cfg: &Config, _shared: &Shared) -> DirectoryEvent {
     DirectoryEvent::All(endpoints(cfg))
 }
 
-/// Limits on what callers may send, as the settings name them.
+/// Returns the limits on callers' requests from the settings.
 fn caller_limits(shared: &Shared) -> CallerLimits {
     let limits = &shared.settings.limits;
     CallerLimits {
@@ -150,7 +150,7 @@
     }
 }
 
-/// Plain services are not rolled out by the router's own configuration.
+/// Empty store, because the router's own configuration has no roll-outs of plain services.
 struct NoRollouts;
 
 #[async_trait]
@@ -164,11 +164,11 @@
     }
 
     async fn write(&mut self, _status: &RolloutStatus) -> Result<WriteOutcome, StoreError> {
-        NotDoneSnafu { reason: "no roll-out of a plain service can be ordered here" }.fail()
+        NotDoneSnafu { reason: "roll-outs of plain services are not supported" }.fail()
     }
 
-    async fn save_replaced_version(&mut self, _known: &ReplacedVersion) -> Result<(), StoreError> {
-        NotDoneSnafu { reason: "no roll-out of a plain service can be ordered here" }.fail()
+    async fn save_replaced_version(&mut self, _replaced: &ReplacedVersion) -> Result<(), StoreError> {
+        NotDoneSnafu { reason: "roll-outs of plain services are not supported" }.fail()
     }
 
     async fn read_replaced_versions(&mut self) -> Result<Vec<ReplacedVersion>, StoreError> {
@@ -176,38 +176,38 @@
     }
 }
 
-/// Requests that are held back are known to VMs that live, which tell each other; here no list outlasts them all.
-struct ToldOnly;
+/// List that stores nothing: quarantined requests are known only from reports between running VMs.
+struct UnstoredQuarantine;
 
 #[async_trait]
-impl QuarantineList for ToldOnly {
+impl QuarantineList for UnstoredQuarantine {
     async fn read(&self) -> Result<Vec<QuarantineEntry>, StoreError> {
         Ok(Vec::new())
     }
 
-    async fn add(&self, _hold: &QuarantineEntry) -> Result<(), StoreError> {
+    async fn add(&self, _entry: &QuarantineEntry) -> Result<(), StoreError> {
         Ok(())
     }
 
-    async fn release(&self, _mark: RequestFingerprint) -> Result<(), StoreError> {
+    async fn release(&self, _fingerprint: RequestFingerprint) -> Result<(), StoreError> {
         Ok(())
     }
 
-    /// Others are told of the trial; two VMs that begin one at the same moment both make it.
+    /// Other VMs learn of the trial from reports, so two VMs that begin one at the same moment both run it.
     async fn claim_trial(
         &self,
-        hold: &QuarantineEntry,
+        entry: &QuarantineEntry,
         now: SystemTime,
     ) -> Result<Option<QuarantineEntry>, StoreError> {
-        Ok(next_trial(&[*hold], hold, now))
+        Ok(next_trial(&[*entry], entry, now))
     }
 }
 
-/// The platform's list of VMs, which enters and takes out VMs by itself.
-struct ListedVms(Arc<dyn VmList>);
+/// The platform's list of VMs, which adds and removes VMs by itself.
+struct PlatformRoster(Arc<dyn VmList>);
 
 #[async_trait]
-impl Roster for ListedVms {
+impl Roster for PlatformRoster {
     async fn register(&self, _peer: &Peer) -> Result<(), StoreError> {
         Ok(())
     }
@@ -217,15 +217,15 @@
     }
 
     async fn read(&self) -> Result<Vec<Peer>, StoreError> {
-        let listing = self.0.read().await.or_else(|error| NotDoneSnafu { reason: error.to_string() }.fail())?;
-        // The list does not tell runs of a process; a VM's first report does.
-        let peers = listing.entries.into_iter().filter(|vm| !vm.leaving);
+        let vm_list = self.0.read().await.or_else(|error| NotDoneSnafu { reason: error.to_string() }.fail())?;
+        // The list has no incarnations; they are known from each VM's first report.
+        let running = vm_list.entries.into_iter().filter(|vm| !vm.leaving);
         let peer = |vm: ListedVm| Peer {
             vm: vm.id,
             incarnation: 0,
             address: vm.peer_address,
             failure_domain: vm.failure_domain,
         };
-        Ok(peers.map(peer).collect())
+        Ok(running.map(peer).collect())
     }
 }
--- a/havengrade_router/src/published/mod.rs
+++ b/havengrade_router/src/published/mod.rs
@@ -1,7 +1,7 @@
-//! Published routes: callers' HTTP requests pass unchanged to endpoints of the router's choice.
+//! Published routes: callers' HTTP requests are forwarded unchanged to endpoints that the router chooses.
 //!
-//! What differs between deployments (names of headers, formats of records, where configuration is kept)
-//! is behind the traits in [`ports`].
+//! Differences between deployments (names of headers, formats of records, location of the configuration) are behind
+//! the traits in [`ports`].
 
 mod active_request;
 mod attempt;
--- a/havengrade_router/src/published/state_parts.rs
+++ b/havengrade_router/src/published/state_parts.rs
@@ -1,4 +1,4 @@
-//! The parts of what is in force, as texts that one VM hands on to another.
+//! Parts of the active state, encoded for the transfer between VMs.
 
 use std::{
     io::{self, Read as _, Write as _},
@@ -17,10 +17,10 @@
     shared::lock,
 };
 
-/// Largest text of a part once it is inflated, in bytes: thirty times the store's largest record, or 40,000 endpoints.
-const MAX_INFLATED: u64 = 8 << 20;
+/// Largest decompressed part, in bytes: thirty times the store's largest record, or 40,000 endpoints.
+const MAX_INFLATED_BYTES: u64 = 8 << 20;
 
-/// What operators wrote: the configuration in force, the orders to roll out, and the emptied failure domains.
+/// Operators' changes: the active configuration, the roll-out orders, and the emptied failure domains.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct OperatorsPart {
     pub(super) publication: Publication,
@@ -28,13 +28,13 @@
     pub(super) domains: DomainEvent,
 }
 
-/// The list of endpoints, or its changes.
+/// The endpoint list, or changes of it.
 pub(super) type EndpointsPart = Vec<DirectoryEvent>;
 
-/// The VMs that are known, each with the time since it was heard from.
+/// The known VMs, each with the time since its last report.
 pub(super) type VmsPart = Vec<(Peer, Duration)>;
 
-/// The text of what operators wrote up to a position.
+/// Encodes the operators' changes up to a position.
 pub(super) fn encode_operators_part(cx: &PublishedContext, position: u64) -> io::Result<Bytes> {
     let mut cache = lock(&cx.shared.part_cache);
     get_or_encode(&mut cache.operators, position, || {
@@ -44,7 +44,7 @@
     })
 }
 
-/// The text of the whole list of endpoints at a revision.
+/// Encodes the complete endpoint list at a revision.
 pub(super) fn encode_endpoints_part(cx: &PublishedContext, revision: u64) -> io::Result<Bytes> {
     let (listed, is_restoring) = {
         let view = cx.shared.store.view();
@@ -55,28 +55,28 @@
     get_or_encode(&mut cache.endpoints, revision, || deflate_json(&vec![event(listed.to_vec())]))
 }
 
-/// The text of the VMs that are known.
+/// Encodes the known VMs.
 pub(super) fn encode_vms_part(cx: &PublishedContext) -> io::Result<Bytes> {
     let now = cx.shared.clock.now();
-    let (revision, told) = {
+    let (revision, known_peers) = {
         let peers = cx.shared.peers();
         (peers.revision(), peers.known_peers(now))
     };
     let mut cache = lock(&cx.shared.part_cache);
-    get_or_encode(&mut cache.vms, revision, || deflate_json(&told))
+    get_or_encode(&mut cache.vms, revision, || deflate_json(&known_peers))
 }
 
-/// Writes a part.
+/// Serializes a part as compressed JSON.
 pub(super) fn deflate_json<T: Serialize>(part: &T) -> io::Result<Bytes> {
     let mut deflated = DeflateEncoder::new(Vec::new(), Compression::fast());
     deflated.write_all(&serde_json::to_vec(part)?)?;
     deflated.finish().map(Bytes::from)
 }
 
-/// Reads a part.
+/// Deserializes a part from compressed JSON.
 pub(super) fn inflate_json<T: DeserializeOwned>(deflated: &[u8]) -> Result<T, serde_json::Error> {
     let mut text = Vec::new();
-    let read = DeflateDecoder::new(deflated).take(MAX_INFLATED).read_to_end(&mut text);
+    let read = DeflateDecoder::new(deflated).take(MAX_INFLATED_BYTES).read_to_end(&mut text);
     read.map_err(serde_json::Error::io)?;
     serde_json::from_slice(&text)
 }
