--- a/havengrade_router/src/services/evidence.rs
+++ b/havengrade_router/src/services/evidence.rs
@@ -1,4 +1,4 @@
-//! The service that counts how well versions answer, here and on the other VMs.
+//! The service that collects evidence of how well versions answer, on this VM and on the others.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,38 +23,40 @@
 /// Name of the service.
 pub const NAME: &str = "evidence";
 
-/// Time between two publications to traffic.
-const PUBLISH_EVERY: Duration = Duration::from_millis(200);
+/// Interval at which the evidence is evaluated and published to the traffic threads.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the service is told and asked.
+/// Messages to the service.
 pub enum EvidenceMessage {
-    /// Another VM's counters.
+    /// Merge tallies of another incarnation.
     Merge(Incarnation, Vec<(TallyKey, Tally)>),
-    /// Own counters that have changed since the last call, or all of them.
+    /// Take the own tallies that have changed since the last call, or all of them.
     TakeOwn {
-        /// Whether all are asked for.
+        /// Whether to include unchanged tallies.
         all: bool,
-        /// Is given the counters.
+        /// Receives the tallies.
         reply: RpcReplyPort<Vec<(TallyKey, Tally)>>,
     },
-    /// Time to publish.
+    /// Evaluate and publish the evidence.
     Tick,
 }
 
-/// The actor of the service.
+/// Actor of the service.
 pub(crate) struct EvidenceActor;
 
 /// State of the service.
 pub(crate) struct EvidenceState {
     cx: Context,
     evidence: Evidence,
-    own: BTreeMap<TallyKey, bool>,
+    /// Keys of the own tallies, and whether each has changed since it was last taken.
+    own_keys: BTreeMap<TallyKey, bool>,
+    /// Whether a tally has changed since the last publication.
     is_dirty: bool,
-    /// Revision for which the roll-outs were last judged.
-    judged: Option<Offset>,
-    /// Ids of the changes that were proposed.
-    proposed: BTreeSet<ChangeId>,
-    calls: Vec<AbortOnDropHandle<()>>,
+    /// Configuration revision for which the roll-outs were last evaluated.
+    evaluated_revision: Option<Offset>,
+    /// Ids of the changes that this VM has proposed.
+    proposed_changes: BTreeSet<ChangeId>,
+    proposals: Vec<AbortOnDropHandle<()>>,
     _ticker: AbortOnDropHandle<()>,
 }
 
@@ -64,16 +66,16 @@
     type Arguments = Context;
 
     async fn pre_start(&self, myself: ActorRef<Self::Msg>, cx: Context) -> Result<EvidenceState, ActorProcessingErr> {
-        let ticker = super::send_periodically(myself, PUBLISH_EVERY, || EvidenceMessage::Tick);
+        let ticker = super::send_periodically(myself, PUBLISH_INTERVAL, || EvidenceMessage::Tick);
         let evidence = Evidence::default();
         Ok(EvidenceState {
             cx,
             evidence,
-            own: BTreeMap::new(),
+            own_keys: BTreeMap::new(),
             is_dirty: false,
-            judged: None,
-            proposed: BTreeSet::new(),
-            calls: Vec::new(),
+            evaluated_revision: None,
+            proposed_changes: BTreeSet::new(),
+            proposals: Vec::new(),
             _ticker: ticker,
         })
     }
@@ -87,7 +89,7 @@
         match message {
             EvidenceMessage::Merge(writer, tallies) => state.merge(writer, &tallies),
             EvidenceMessage::TakeOwn { all, reply } => {
-                let _ = reply.send(state.take_own(all));
+                let _ = reply.send(state.take_own_tallies(all));
             },
             EvidenceMessage::Tick => state.publish(),
         }
@@ -96,41 +98,41 @@
 }
 
 impl EvidenceState {
-    /// Takes what traffic has seen since the last time.
-    fn take_seen(&mut self) {
-        for (subject, tally) in self.cx.shared.take_evidence() {
-            self.evidence.record(&subject, self.cx.shared.incarnation, tally);
-            self.own.insert(subject, true);
+    /// Adds the tallies that traffic has recorded since the last call.
+    fn collect_traffic_tallies(&mut self) {
+        for (key, tally) in self.cx.shared.take_evidence() {
+            self.evidence.record(&key, self.cx.shared.incarnation, tally);
+            self.own_keys.insert(key, true);
             self.is_dirty = true;
         }
     }
 
     fn merge(&mut self, writer: Incarnation, tallies: &[(TallyKey, Tally)]) {
-        for (subject, tally) in tallies {
-            self.evidence.merge(subject, writer, *tally);
+        for (key, tally) in tallies {
+            self.evidence.merge(key, writer, *tally);
         }
         self.is_dirty |= !tallies.is_empty();
     }
 
-    fn take_own(&mut self, all: bool) -> Vec<(TallyKey, Tally)> {
+    fn take_own_tallies(&mut self, all: bool) -> Vec<(TallyKey, Tally)> {
         let writer = self.cx.shared.incarnation;
-        let mut taken = Vec::new();
-        for (subject, has_changed) in &mut self.own {
+        let mut tallies = Vec::new();
+        for (key, has_changed) in &mut self.own_keys {
             if all || *has_changed {
                 *has_changed = false;
-                taken.push((subject.clone(), self.evidence.writer_tally(subject, writer)));
+                tallies.push((key.clone(), self.evidence.writer_tally(key, writer)));
             }
         }
-        taken
+        tallies
     }
 
     fn publish(&mut self) {
-        self.take_seen();
+        self.collect_traffic_tallies();
         let catalog = self.cx.shared.catalog.load();
-        if !std::mem::take(&mut self.is_dirty) && self.judged == catalog.config.revision {
+        if !std::mem::take(&mut self.is_dirty) && self.evaluated_revision == catalog.config.revision {
             return;
         }
-        self.judged = catalog.config.revision;
+        self.evaluated_revision = catalog.config.revision;
         let mut totals = self.evidence.totals().clone();
         totals.halted_rollouts = rollout::rollouts_to_halt(&catalog.config, &totals);
         for item in catalog.config.rollouts.values() {
@@ -141,17 +143,17 @@
         self.cx.shared.evidence.store(Arc::new(totals));
     }
 
-    /// Proposes how a roll-out should stand; the first VM whose record takes effect decides.
+    /// Proposes the next state of a roll-out; the first VM whose record takes effect decides.
     fn propose(&mut self, config: &Config, next: &Rollout) {
         let item = Item::Rollout(next.clone());
         let base = config.base_revision(&item.scope());
-        let (verb, reason) = match next.state {
+        let (action, reason) = match next.state {
             RolloutState::Halted => ("halt", "the evidence speaks against the new version"),
             RolloutState::Running | RolloutState::Paused => ("step", "the step has gathered its evidence"),
         };
-        // All VMs give the same change the same id, so that it stands in the log as one.
-        let change_id = format!("{verb}-{}-{}-{base:?}", next.id, next.step);
-        if !self.proposed.insert(change_id.clone()) {
+        // All VMs derive the same id for the same change, so that it takes effect only once.
+        let change_id = format!("{action}-{}-{}-{base:?}", next.id, next.step);
+        if !self.proposed_changes.insert(change_id.clone()) {
             return;
         }
         let record = ChangeRecord {
@@ -162,9 +164,9 @@
             changes: vec![ScopedChange { base, change: Change::Put { item } }],
         };
         let Some(service) = self.cx.find::<ConfigMessage>(config::NAME) else { return };
-        self.calls.retain(|call| !call.is_finished());
-        self.calls.push(AbortOnDropHandle::new(tokio::spawn(async move {
-            // What became of it shows in the configuration; a lost record is proposed by another VM.
+        self.proposals.retain(|proposal| !proposal.is_finished());
+        self.proposals.push(AbortOnDropHandle::new(tokio::spawn(async move {
+            // The outcome shows in the configuration; if the record is lost, another VM proposes the change.
             drop(service.call(|reply| ConfigMessage::Propose { record, reply }, None).await);
         })));
     }
