--- a/havengrade_router/src/services/endpoints.rs
+++ b/havengrade_router/src/services/endpoints.rs
@@ -1,7 +1,7 @@
-//! The service that watches endpoints: their load, their silence and their leaving.
+//! The service that monitors endpoints: their load, whether they answer and whether they are shutting down.
 //!
-//! The live VMs share the endpoints among them: each endpoint is asked by one VM, which tells the others
-//! with its heartbeats.
+//! The endpoints are divided among the live VMs: one VM polls an endpoint and reports the answer to the others in
+//! its heartbeats.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -29,63 +29,65 @@
 /// Name of the service.
 pub const NAME: &str = "endpoints";
 
-/// Time between two looks at whose turn it is.
-const TICK: Duration = Duration::from_millis(250);
-/// Largest load report, in bytes.
-const MAX_REPORT: usize = 64 << 10;
+/// Interval at which endpoints that are due are polled.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum size of a load report, in bytes.
+const MAX_REPORT_BYTES: usize = 64 << 10;
 
-/// An endpoint's report of itself.
+/// Load report of an endpoint.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct LoadReport {
-    /// Requests that it runs or has queued.
+    /// Number of requests that the endpoint runs or has queued.
     pub load: u32,
-    /// Whether it is about to leave.
+    /// Whether the endpoint is about to shut down.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// What the service is told.
+/// Messages to the service.
 pub enum EndpointsMessage {
-    /// Time to look whose turn it is.
+    /// Poll the endpoints that are due.
     Tick,
-    /// An endpoint answered.
+    /// Report of an endpoint that this VM has polled.
     OwnReport {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: EndpointId,
-        /// Requests of ours that were there when it was asked.
+        /// Number of this VM's requests in flight there when the poll began.
         own: u32,
-        /// Its report.
+        /// The report.
         report: EndpointReport,
     },
-    /// Reports that another VM was given.
+    /// Reports of endpoints that another VM has polled.
     RelayedReports(Vec<(EndpointId, EndpointReport)>),
-    /// The platform's list.
+    /// Endpoints on the platform's list.
     PlatformList(Vec<ListedEndpoint>),
 }
 
-/// The actor of the service.
+/// Actor of the service.
 pub(crate) struct EndpointsActor;
 
-/// What is kept of an endpoint that is watched.
-struct Watched {
+/// State of a monitored endpoint.
+struct MonitoredEndpoint {
     slot: Arc<EndpointSlot>,
     address: SocketAddr,
-    /// By this number the VMs share the endpoints among them.
-    place: u64,
-    since: SystemTime,
-    asked: Option<SystemTime>,
-    says_leaving: bool,
-    asking: Option<AbortOnDropHandle<()>>,
+    /// Hash by which the endpoints are assigned to the live VMs.
+    assignment_hash: u64,
+    monitored_since: SystemTime,
+    /// Time at which this VM last polled the endpoint.
+    last_polled: Option<SystemTime>,
+    /// Whether the endpoint has reported that it is about to shut down.
+    reports_shutdown: bool,
+    poll: Option<AbortOnDropHandle<()>>,
 }
 
 /// State of the service.
 pub(crate) struct EndpointsState {
     cx: Context,
-    watched: BTreeMap<EndpointId, Watched>,
-    /// Configuration whose endpoints are watched.
+    monitored: BTreeMap<EndpointId, MonitoredEndpoint>,
+    /// Configuration whose endpoints are monitored.
     catalog: Arc<Catalog>,
-    /// Endpoints that the platform lists as leaving.
-    listed_leaving: HashSet<EndpointId>,
+    /// Endpoints that the platform is about to remove.
+    listed_shutting_down: HashSet<EndpointId>,
     _ticker: AbortOnDropHandle<()>,
 }
 
@@ -98,9 +100,9 @@
         Ok(EndpointsState {
             catalog: cx.shared.catalog.load_full(),
             cx,
-            watched: BTreeMap::new(),
-            listed_leaving: HashSet::new(),
-            _ticker: super::send_periodically(myself, TICK, || EndpointsMessage::Tick),
+            monitored: BTreeMap::new(),
+            listed_shutting_down: HashSet::new(),
+            _ticker: super::send_periodically(myself, TICK_INTERVAL, || EndpointsMessage::Tick),
         })
     }
 
@@ -113,13 +115,13 @@
         match message {
             EndpointsMessage::Tick => state.tick(&myself),
             EndpointsMessage::OwnReport { endpoint, own, report } => {
-                state.reported(&endpoint, report, Some(own));
+                state.apply_report(&endpoint, report, Some(own));
                 state.cx.shared.note_report(endpoint, report);
             },
             EndpointsMessage::RelayedReports(reports) => {
-                reports.into_iter().for_each(|(endpoint, report)| state.reported(&endpoint, report, None));
+                reports.into_iter().for_each(|(endpoint, report)| state.apply_report(&endpoint, report, None));
             },
-            EndpointsMessage::PlatformList(listed) => state.listed(&listed),
+            EndpointsMessage::PlatformList(listed) => state.apply_platform_list(&listed),
         }
         Ok(())
     }
@@ -127,49 +129,61 @@
 
 impl EndpointsState {
     fn tick(&mut self, myself: &ActorRef<EndpointsMessage>) {
-        self.follow_configuration();
-        self.note_known();
+        self.update_monitored();
+        self.check_first_answers();
         let live = self.cx.shared.live_vms();
-        let own = live.iter().position(|vm| vm == self.cx.shared.vm()).unwrap_or_default() as u64;
+        let own_index = live.iter().position(|vm| vm == self.cx.shared.vm()).unwrap_or_default() as u64;
         let now = self.cx.shared.clock.now();
-        let report = Duration::from_millis(self.cx.shared.settings.endpoints.report_ms);
-        let silence = Duration::from_millis(self.cx.shared.settings.endpoints.silence_ms);
-        for (id, watched) in &mut self.watched {
-            let unheard = watched.unheard(now);
-            if unheard > silence {
-                watched.slot.fall_silent();
+        let report_interval = Duration::from_millis(self.cx.shared.settings.endpoints.report_ms);
+        let silence_timeout = Duration::from_millis(self.cx.shared.settings.endpoints.silence_ms);
+        for (id, monitored) in &mut self.monitored {
+            let time_since_answer = monitored.time_since_answer(now);
+            if time_since_answer > silence_timeout {
+                monitored.slot.fall_silent();
             }
-            // Where its VM does not tell of it, for one that is gone itself, everyone asks.
-            let is_own_turn = watched.place % live.len().max(1) as u64 == own;
-            let is_due = is_own_turn || unheard > report * 3 / 2 || watched.is_in_doubt();
-            let was_asked = watched.asked.is_some_and(|asked| now.duration_since(asked).unwrap_or_default() < report);
-            if is_due && !was_asked {
-                watched.asked = Some(now);
-                let ask = ask(self.cx.clone(), myself.clone(), id.clone(), watched.address, watched.slot.in_flight());
-                watched.asking = Some(AbortOnDropHandle::new(tokio::spawn(ask)));
+            // All VMs poll an endpoint without a recent report, since the VM responsible for it may be gone.
+            let is_responsible = monitored.assignment_hash % live.len().max(1) as u64 == own_index;
+            let is_due =
+                is_responsible || time_since_answer > report_interval * 3 / 2 || monitored.needs_direct_report();
+            let was_polled = monitored
+                .last_polled
+                .is_some_and(|last_polled| now.duration_since(last_polled).unwrap_or_default() < report_interval);
+            if is_due && !was_polled {
+                monitored.last_polled = Some(now);
+                let poll = poll_load(
+                    self.cx.clone(),
+                    myself.clone(),
+                    id.clone(),
+                    monitored.address,
+                    monitored.slot.in_flight(),
+                );
+                monitored.poll = Some(AbortOnDropHandle::new(tokio::spawn(poll)));
             }
         }
     }
 
-    /// Notes that every endpoint has given a sign, or has had its time for one.
-    fn note_known(&self) {
-        /// Time that an endpoint has for its first sign.
-        const FIRST_SIGN: Duration = Duration::from_millis(500);
+    /// Marks the endpoints as known once each has answered or its first poll has timed out.
+    fn check_first_answers(&self) {
+        /// Time that an endpoint has for its first answer.
+        const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
         let now = self.cx.shared.clock.now();
-        let had_time = |asked: SystemTime| now.duration_since(asked).unwrap_or_default() >= FIRST_SIGN;
-        let is_known = |watched: &Watched| watched.slot.heard().is_some() || watched.asked.is_some_and(had_time);
-        if self.cx.shared.is_caught_up() && self.watched.values().all(is_known) {
+        let has_timed_out =
+            |last_polled: SystemTime| now.duration_since(last_polled).unwrap_or_default() >= FIRST_ANSWER_TIMEOUT;
+        let is_known = |monitored: &MonitoredEndpoint| {
+            monitored.slot.heard().is_some() || monitored.last_polled.is_some_and(has_timed_out)
+        };
+        if self.cx.shared.is_caught_up() && self.monitored.values().all(is_known) {
             self.cx.shared.set_endpoints_known();
         }
     }
 
-    /// Watches the endpoints of the configuration in force; scripts know nothing of reports and are left out.
-    fn follow_configuration(&mut self) {
+    /// Monitors the endpoints of the active configuration, except scripts, which don't report their load.
+    fn update_monitored(&mut self) {
         let catalog = self.cx.shared.catalog.load_full();
-        if !self.watched.is_empty() && self.catalog.shares_endpoints_with(&catalog.config) {
+        if !self.monitored.is_empty() && self.catalog.shares_endpoints_with(&catalog.config) {
             return;
         }
-        let mut known = std::mem::take(&mut self.watched);
+        let mut known = std::mem::take(&mut self.monitored);
         let now = self.cx.shared.clock.now();
         for endpoint in catalog.config.endpoints.values().filter(|endpoint| endpoint.kind == EndpointKind::Scripts) {
             if let Some(slot) = self.cx.shared.endpoints.slot(&endpoint.id) {
@@ -177,66 +191,73 @@
             }
         }
         for endpoint in catalog.config.endpoints.values().filter(|endpoint| endpoint.kind != EndpointKind::Scripts) {
-            let kept = known.remove(&endpoint.id).filter(|watched| watched.address == endpoint.address);
+            let unchanged = known.remove(&endpoint.id).filter(|monitored| monitored.address == endpoint.address);
             let slot = self.cx.shared.endpoints.slot(&endpoint.id).unwrap_or_default();
-            let watched = kept.unwrap_or_else(|| Watched::new(endpoint, slot, now));
-            self.watched.insert(endpoint.id.clone(), watched);
+            let monitored = unchanged.unwrap_or_else(|| MonitoredEndpoint::new(endpoint, slot, now));
+            self.monitored.insert(endpoint.id.clone(), monitored);
         }
         self.catalog = catalog;
     }
 
-    fn reported(&mut self, endpoint: &str, report: EndpointReport, own: Option<u32>) {
-        let is_listed = self.listed_leaving.contains(endpoint);
-        let Some(watched) = self.watched.get_mut(endpoint) else { return };
+    fn apply_report(&mut self, endpoint: &str, report: EndpointReport, own: Option<u32>) {
+        let is_listed_shutting_down = self.listed_shutting_down.contains(endpoint);
+        let Some(monitored) = self.monitored.get_mut(endpoint) else { return };
         match report {
-            EndpointReport::Gone => watched.slot.fall_silent(),
+            EndpointReport::Gone => monitored.slot.fall_silent(),
             EndpointReport::Load { load, leaving } => {
-                // A relayed report may have been on its way for long; only a report to ourselves takes it back.
-                watched.says_leaving = leaving || (own.is_none() && watched.says_leaving);
-                watched.slot.report(load, own.unwrap_or_else(|| watched.slot.in_flight()));
-                watched.slot.hear(self.cx.shared.clock.now());
-                watched.slot.set_leaving(watched.says_leaving || is_listed);
+                // A relayed report may be old, so only a direct report can reset the flag.
+                monitored.reports_shutdown = leaving || (own.is_none() && monitored.reports_shutdown);
+                monitored.slot.report(load, own.unwrap_or_else(|| monitored.slot.in_flight()));
+                monitored.slot.hear(self.cx.shared.clock.now());
+                monitored.slot.set_leaving(monitored.reports_shutdown || is_listed_shutting_down);
             },
         }
     }
 
-    fn listed(&mut self, listed: &[ListedEndpoint]) {
-        self.listed_leaving = listed.iter().filter(|vm| vm.leaving).map(|vm| vm.id.clone()).collect();
-        for (id, watched) in &self.watched {
-            watched.slot.set_leaving(watched.says_leaving || self.listed_leaving.contains(id));
+    fn apply_platform_list(&mut self, listed: &[ListedEndpoint]) {
+        self.listed_shutting_down = listed.iter().filter(|vm| vm.leaving).map(|vm| vm.id.clone()).collect();
+        for (id, monitored) in &self.monitored {
+            monitored.slot.set_leaving(monitored.reports_shutdown || self.listed_shutting_down.contains(id));
         }
     }
 }
 
-impl Watched {
+impl MonitoredEndpoint {
     fn new(endpoint: &Endpoint, slot: Arc<EndpointSlot>, now: SystemTime) -> Self {
         Self {
             slot,
             address: endpoint.address,
-            place: uniform_hash(&[&endpoint.id]),
-            since: now,
-            asked: None,
-            says_leaving: false,
-            asking: None,
+            assignment_hash: uniform_hash(&[&endpoint.id]),
+            monitored_since: now,
+            last_polled: None,
+            reports_shutdown: false,
+            poll: None,
         }
     }
 
-    /// Whether only a report to ourselves tells how it stands.
-    fn is_in_doubt(&self) -> bool {
-        self.slot.heard().is_none() || self.says_leaving
+    /// Returns whether only a direct report can tell the state of the endpoint.
+    fn needs_direct_report(&self) -> bool {
+        self.slot.heard().is_none() || self.reports_shutdown
     }
 
-    /// Time since there was last a sign of it, or since it is watched.
-    fn unheard(&self, now: SystemTime) -> Duration {
-        let heard = self.slot.heard().map_or(self.since, |heard| heard.max(self.since));
+    /// Returns the time since the endpoint last answered, or since its monitoring began.
+    fn time_since_answer(&self, now: SystemTime) -> Duration {
+        let heard = self.slot.heard().map_or(self.monitored_since, |heard| heard.max(self.monitored_since));
         now.duration_since(heard).unwrap_or_default()
     }
 }
 
-async fn ask(cx: Context, service: ActorRef<EndpointsMessage>, endpoint: EndpointId, address: SocketAddr, own: u32) {
-    let limit = Duration::from_millis(cx.shared.settings.endpoints.silence_ms);
+/// Requests the load report of an endpoint and sends it to the service.
+async fn poll_load(
+    cx: Context,
+    service: ActorRef<EndpointsMessage>,
+    endpoint: EndpointId,
+    address: SocketAddr,
+    own: u32,
+) {
+    let timeout = Duration::from_millis(cx.shared.settings.endpoints.silence_ms);
     let request = get(&format!("http://{address}/load"));
-    let report = match cx.http.call(address, request, Reuse::Allowed, limit, MAX_REPORT).await {
+    let report = match cx.http.call(address, request, Reuse::Allowed, timeout, MAX_REPORT_BYTES).await {
         Ok(answer) => {
             let body = answer.expect_ok(address).ok();
             body.and_then(|body| serde_json::from_slice::<LoadReport>(&body).ok()).map(std::convert::Into::into)
