--- a/havengrade_router/src/services/members/wire.rs
+++ b/havengrade_router/src/services/members/wire.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and what they carry, in the schema's terms and in ours.
+//! Conversion of heartbeats and their payload between the RPC schema and the core's types.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 
 use crate::endpoints::EndpointReport;
 
-/// A report of an endpoint as another VM tells it.
-pub(super) fn from_load(load: EndpointLoad) -> (EndpointId, EndpointReport) {
+/// Decodes an endpoint's report that another VM relays.
+pub(super) fn decode_load(load: EndpointLoad) -> (EndpointId, EndpointReport) {
     let report = if load.gone {
         EndpointReport::Gone
     } else {
@@ -21,8 +21,8 @@
     (load.endpoint, report)
 }
 
-/// A heartbeat without its news.
-pub(super) fn to_heartbeat(message: &PeerHeartbeat) -> Heartbeat {
+/// Decodes a heartbeat without its payload.
+pub(super) fn decode_heartbeat(message: &PeerHeartbeat) -> Heartbeat {
     Heartbeat {
         vm: message.vm.clone(),
         incarnation: message.incarnation.cast_unsigned(),
@@ -36,11 +36,11 @@
     }
 }
 
-/// A tally as a heartbeat carries it.
-pub(super) fn to_wire(subject: &TallyKey, tally: &Tally) -> EvidenceTally {
+/// Encodes a tally for a heartbeat.
+pub(super) fn encode_tally(key: &TallyKey, tally: &Tally) -> EvidenceTally {
     EvidenceTally::new(
-        subject.class.clone(),
-        subject.version.clone(),
+        key.class.clone(),
+        key.version.clone(),
         tally.rated.cast_signed(),
         tally.score.cast_signed(),
         tally.ended.cast_signed(),
@@ -49,9 +49,9 @@
     )
 }
 
-/// A tally that a heartbeat carried.
-pub(super) fn from_wire(tally: &EvidenceTally) -> (TallyKey, Tally) {
-    let subject = TallyKey { class: tally.request_class.clone(), version: tally.version.clone() };
+/// Decodes a tally of a heartbeat.
+pub(super) fn decode_tally(tally: &EvidenceTally) -> (TallyKey, Tally) {
+    let key = TallyKey { class: tally.request_class.clone(), version: tally.version.clone() };
     let tally = Tally {
         rated: tally.rated.cast_unsigned(),
         score: tally.score.cast_unsigned(),
@@ -59,5 +59,5 @@
         failed: tally.failed.cast_unsigned(),
         passed: tally.passed.cast_unsigned(),
     };
-    (subject, tally)
+    (key, tally)
 }
--- a/havengrade_router/src/services/peers/server.rs
+++ b/havengrade_router/src/services/peers/server.rs
@@ -71,7 +71,7 @@
                 .call(
                     |reply| MembersMessage::Heartbeat {
                         heartbeat: Box::new(heartbeat),
-                        asked: None,
+                        requested_at: None,
                         reply: Some(reply),
                     },
                     None,
