--- a/havengrade_router/src/services/operators.rs
+++ b/havengrade_router/src/services/operators.rs
@@ -1,4 +1,4 @@
-//! The service that answers operators.
+//! The service that handles the calls of operators.
 
 use std::time::{Duration, SystemTime};
 
@@ -40,16 +40,16 @@
 /// Name of the service.
 pub const NAME: &str = "operators";
 
-/// Time that the log has to show a change.
-const ACCEPT_LIMIT: Duration = Duration::from_secs(3);
-/// Time for which an answer waits until all live VMs have a change in force.
-const IN_FORCE_LIMIT: Duration = Duration::from_secs(2);
-/// Time between two looks at what the VMs have in force.
-const IN_FORCE_PAUSE: Duration = Duration::from_millis(50);
-/// Time for which a connection may be idle.
-const IDLE_LIMIT: Duration = Duration::from_secs(60);
-/// Records that are read at once for the audit trail.
-const AUDIT_READ: usize = 1000;
+/// Maximum time until the outcome of a change is known, or another service answers.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum time that a reply waits until a change is active on all listed VMs.
+const ACTIVATION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval at which the reply checks on which VMs the change is active.
+const ACTIVATION_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Maximum number of records per read for the audit trail.
+const MAX_AUDIT_READ_RECORDS: usize = 1000;
 
 /// The service.
 pub struct OperatorsService;
@@ -67,6 +67,7 @@
     }
 }
 
+/// Actor of the service.
 struct OperatorsActor;
 
 impl Actor for OperatorsActor {
@@ -90,7 +91,7 @@
         match listener.accept().await {
             Ok(connection) => drop(connections.spawn(serve_operator(cx.clone(), connection))),
             Err(error) => {
-                log::warn!(service = NAME; "connection not accepted: {error}");
+                log::warn!(service = NAME; "failed to accept an operator connection: {error}");
                 sleep(super::ACCEPT_RETRY_DELAY).await;
             },
         }
@@ -98,20 +99,20 @@
 }
 
 async fn serve_operator(cx: Context, connection: BoxConnection) {
-    let mut frames = framed(connection, cx.shared.settings.limits.max_frame_bytes);
-    while let Ok(Some(frame)) = timeout(IDLE_LIMIT, frames.next()).await {
-        let answered = match frame {
+    let mut stream = framed(connection, cx.shared.settings.limits.max_frame_bytes);
+    while let Ok(Some(frame)) = timeout(IDLE_TIMEOUT, stream.next()).await {
+        let reply = match frame {
             Ok(frame) => answer_frame(&cx, &frame).await,
             Err(error) => Err(error.to_string()),
         };
-        match answered {
+        match reply {
             Ok(reply) => {
-                if frames.send(Bytes::from(reply)).await.is_err() {
+                if stream.send(Bytes::from(reply)).await.is_err() {
                     return;
                 }
             },
             Err(error) => {
-                log::warn!(service = NAME; "connection of an operator closed, since its message can't be read: {error}");
+                log::warn!(service = NAME; "closing an operator connection after a malformed message: {error}");
                 return;
             },
         }
@@ -124,11 +125,11 @@
     encode_reply(frame, result).map_err(|error| error.to_string())
 }
 
-/// Carries out an operator's call.
+/// Executes an operator's call.
 ///
 /// # Errors
 ///
-/// [`OperatorError`] tells whether the caller, a field or the VM is at fault.
+/// The [`OperatorError`] says whether the caller, a field or the VM is at fault.
 pub async fn answer(cx: &Context, credentials: &Credentials, call: OperatorCall) -> OperatorResult {
     let author = authenticate(cx, credentials)?;
     match call {
@@ -155,7 +156,7 @@
     }
 }
 
-/// The operator's name, if the key fits; an unknown name takes as long to refuse as a wrong key.
+/// Returns the operator's name if the key matches; an unknown name takes as long to refuse as a wrong key.
 fn authenticate(cx: &Context, credentials: &Credentials) -> Result<String, OperatorError> {
     let operators = &cx.shared.settings.operators;
     let operator = operators.iter().find(|operator| operator.name == credentials.operator_name);
@@ -163,7 +164,7 @@
     if secret::matches(&credentials.key, stored) {
         return Ok(credentials.operator_name.clone());
     }
-    log::warn!(service = NAME, operator = credentials.operator_name.as_str(); "operator refused");
+    log::warn!(service = NAME, operator = credentials.operator_name.as_str(); "operator authentication failed");
     let remedy = "the name or the key is wrong; the settings of the VM list who may call".to_owned();
     Err(OperatorError::Unauthenticated(Unauthenticated { remedy }))
 }
@@ -173,7 +174,7 @@
 }
 
 fn unavailable(reason: impl Into<String>) -> OperatorError {
-    /// Time after which a call may go through.
+    /// Time after which a retry may succeed.
     const RETRY_AFTER_MS: i64 = 1000;
     OperatorError::Unavailable(Unavailable::new(reason.into(), RETRY_AFTER_MS))
 }
@@ -191,7 +192,7 @@
         })
         .collect();
     let changes_json = serde_json::to_string(&changes).unwrap_or_default();
-    let record = record_of(cx, String::new(), String::new(), String::new(), changes);
+    let record = change_record(cx, String::new(), String::new(), String::new(), changes);
     let faults = match catalog.config.try_apply(catalog.config.next_offset, &record) {
         Ok(_) => Vec::new(),
         Err(VoidReason::Invalid(faults)) => faults.iter().map(ToString::to_string).collect(),
@@ -200,7 +201,7 @@
     Ok(Plan::new(differences, changes_json, faults))
 }
 
-fn record_of(
+fn change_record(
     cx: &Context,
     change_id: String,
     author: String,
@@ -226,9 +227,9 @@
     if changes.is_empty() {
         return Err(bad_request("changes_json", "holds no change; what the file says is in force already"));
     }
-    let record = record_of(cx, change_id.clone(), author, reason, changes);
+    let record = change_record(cx, change_id.clone(), author, reason, changes);
     let service = cx.find::<ConfigMessage>(config::NAME).ok_or_else(|| unavailable("the VM is stopping"))?;
-    let proposed = service.call(|reply| ConfigMessage::Propose { record, reply }, Some(ACCEPT_LIMIT)).await;
+    let proposed = service.call(|reply| ConfigMessage::Propose { record, reply }, Some(CALL_TIMEOUT)).await;
     let outcome = proposed.ok().and_then(|outcome| outcome.success_or(()).ok());
     Ok(change_reply(cx, change_id, outcome).await)
 }
@@ -245,41 +246,42 @@
             (ChangeStatus::UNKNOWN, None, detail.to_owned())
         },
     };
-    let (in_force, live, lagging) = wait_in_force(cx, offset).await;
+    let (in_force, live, lagging) = wait_until_active(cx, offset).await;
     ChangeReply::new(status, change_id, offset.map(u64::cast_signed), detail, in_force, live, lagging)
 }
 
-/// Waits for a time until all listed VMs have an offset in force; counts those that do, and names the others.
+/// Waits, up to a timeout, until the change at an offset is active on all listed VMs that aren't shutting down.
 ///
-/// A VM that is not heard from is named too: it may serve callers although we can't reach it.
-async fn wait_in_force(cx: &Context, offset: Option<Offset>) -> (i32, i32, Vec<String>) {
+/// Returns the number of live VMs on which it is active, the number of live VMs, and the names of the VMs that
+/// lag. A VM without a recent heartbeat is named too: it may serve callers although this VM can't reach it.
+async fn wait_until_active(cx: &Context, offset: Option<Offset>) -> (i32, i32, Vec<String>) {
     let started = cx.shared.clock.now();
     loop {
-        let members = members(cx).await.unwrap_or_default();
-        let has_it = |member: &Member| {
+        let members = list_members(cx).await.unwrap_or_default();
+        let has_activated = |member: &Member| {
             let next = member.heartbeat.as_ref().map_or(0, |heartbeat| heartbeat.config_next);
             offset.is_some_and(|offset| next > offset)
         };
         let lagging: Vec<String> = members
             .iter()
             .filter(|(member, _)| !member.listed.leaving)
-            .filter(|(member, live)| !live || !has_it(member))
+            .filter(|(member, live)| !live || !has_activated(member))
             .map(|(member, _)| member.listed.id.clone())
             .collect();
         let waited = cx.shared.clock.now().duration_since(started).unwrap_or_default();
-        if offset.is_none() || lagging.is_empty() || waited >= IN_FORCE_LIMIT {
+        if offset.is_none() || lagging.is_empty() || waited >= ACTIVATION_TIMEOUT {
             let live = members.iter().filter(|(_, live)| *live).count();
-            let in_force = members.iter().filter(|(member, live)| *live && has_it(member)).count();
+            let in_force = members.iter().filter(|(member, live)| *live && has_activated(member)).count();
             let count = |count: usize| i32::try_from(count).unwrap_or(i32::MAX);
             return (count(in_force), count(live), lagging);
         }
-        sleep(IN_FORCE_PAUSE).await;
+        sleep(ACTIVATION_POLL_INTERVAL).await;
     }
 }
 
-async fn members(cx: &Context) -> Result<Vec<(Member, bool)>, OperatorError> {
+async fn list_members(cx: &Context) -> Result<Vec<(Member, bool)>, OperatorError> {
     let service = cx.find::<MembersMessage>(members::NAME).ok_or_else(|| unavailable("the VM is stopping"))?;
-    let members = service.call(MembersMessage::Members, Some(ACCEPT_LIMIT)).await;
+    let members = service.call(MembersMessage::Members, Some(CALL_TIMEOUT)).await;
     members.ok().and_then(|members| members.success_or(()).ok()).ok_or_else(|| unavailable("the VM is stopping"))
 }
 
@@ -302,7 +304,7 @@
     Ok(shown.collect())
 }
 
-/// Replays the stream from its beginning, so that the trail is the same from any VM.
+/// Replays the stream from its beginning, so that the audit trail is the same on every VM.
 async fn audit(cx: &Context, from: Offset, limit: i32) -> Result<Vec<AuditEntry>, OperatorError> {
     let limit = usize::try_from(limit).unwrap_or_default();
     let mut config = Config::default();
@@ -311,18 +313,18 @@
     loop {
         let slice = cx
             .log
-            .read(Stream::Config, next, AUDIT_READ, Duration::ZERO)
+            .read(Stream::Config, next, MAX_AUDIT_READ_RECORDS, Duration::ZERO)
             .await
             .map_err(|error| unavailable(error.to_string()))?;
         for record in &slice.records {
             next = record.offset + 1;
             let Ok(parsed) = serde_json::from_str::<ConfigRecord>(&record.data) else { continue };
-            let effect = config.replay(record.offset, &parsed);
+            let outcome = config.replay(record.offset, &parsed);
             if let ConfigRecord::Change(change) = &parsed
                 && record.offset >= from
                 && entries.len() < limit
             {
-                entries.push(audit_entry(record.offset, change, &effect));
+                entries.push(audit_entry(record.offset, change, &outcome));
             }
         }
         if slice.records.is_empty() || entries.len() >= limit {
@@ -331,8 +333,8 @@
     }
 }
 
-fn audit_entry(offset: Offset, change: &ChangeRecord, effect: &ReplayOutcome) -> AuditEntry {
-    let (effect, detail) = match effect {
+fn audit_entry(offset: Offset, change: &ChangeRecord, outcome: &ReplayOutcome) -> AuditEntry {
+    let (outcome, detail) = match outcome {
         ReplayOutcome::Effective => ("effective", String::new()),
         ReplayOutcome::Void(reason @ VoidReason::Conflict { .. }) => ("conflict", reason.to_string()),
         ReplayOutcome::Void(reason @ VoidReason::Invalid(_)) => ("invalid", reason.to_string()),
@@ -349,14 +351,14 @@
         change.change_id.clone(),
         change.author.clone(),
         change.reason.clone(),
-        effect.to_owned(),
+        outcome.to_owned(),
         detail,
         scopes,
     )
 }
 
 async fn status(cx: &Context) -> Result<FleetStatus, OperatorError> {
-    let vms = members(cx).await?.into_iter().map(|(member, live)| vm_status(&member, live)).collect();
+    let vms = list_members(cx).await?.into_iter().map(|(member, live)| vm_status(&member, live)).collect();
     let revision = cx.shared.catalog.load().config.revision.map(u64::cast_signed);
     Ok(FleetStatus::new(cx.shared.vm().clone(), revision, cx.shared.is_log_reachable(), vms))
 }
@@ -379,12 +381,12 @@
 }
 
 async fn drain(cx: &Context, author: &str, vm: String) -> Result<(), OperatorError> {
-    log::info!(service = NAME, operator = author, vm = vm.as_str(); "drain asked for");
+    log::info!(service = NAME, operator = author, vm = vm.as_str(); "drain requested");
     if vm == *cx.shared.vm() {
         cx.shared.start_drain();
         return Ok(());
     }
-    let is_listed = members(cx).await?.iter().any(|(member, _)| member.listed.id == vm);
+    let is_listed = list_members(cx).await?.iter().any(|(member, _)| member.listed.id == vm);
     if !is_listed {
         return Err(bad_request("vm", "no such VM is listed; `havengradectl status` shows them"));
     }
