--- a/havengrade_router/src/platform/log_service.rs
+++ b/havengrade_router/src/platform/log_service.rs
@@ -12,7 +12,7 @@
 
 use crate::http::{Answer, HttpClient, HttpError, Reuse, get, post};
 
-/// The streams that the system keeps.
+/// The streams of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stream {
     /// Changes to the configuration.
@@ -33,19 +33,19 @@
     }
 }
 
-/// A record as the log gives it.
+/// A record of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// Its offset.
+    /// The record's offset.
     pub offset: Offset,
-    /// Its content, JSON.
+    /// The record's content as JSON.
     pub data: String,
 }
 
-/// A part of a stream.
+/// The records of a stream from an offset on, with the bounds of the stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogSlice {
-    /// Offset of the oldest record that is kept.
+    /// Offset of the oldest retained record.
     pub first: Offset,
     /// Offset that the next record will have.
     pub next: Offset,
@@ -53,20 +53,20 @@
     pub records: Vec<LogRecord>,
 }
 
-/// Why the log did not serve a call.
+/// A failed call to the log service.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum LogError {
     /// The call failed; an append may have taken effect all the same.
     #[snafu(display("log service: {source}"))]
     Call {
-        /// What the client says.
+        /// Error of the HTTP client.
         source: HttpError,
     },
-    /// The answer is not one of a log service.
+    /// The answer can't be decoded.
     #[snafu(display("log service: its answer can't be read: {source}"))]
     Answer {
-        /// What the reader says.
+        /// Error of the JSON decoder.
         source: serde_json::Error,
     },
 }
@@ -74,10 +74,10 @@
 /// The log service.
 #[async_trait]
 pub trait LogService: Send + Sync {
-    /// Appends a record.
+    /// Appends a record and returns its offset.
     async fn append(&self, stream: Stream, data: String) -> Result<Offset, LogError>;
 
-    /// Reads up to `max` records from an offset; waits up to `wait` where there are none.
+    /// Reads up to `max` records from an offset on; waits up to `wait` if there are none yet.
     async fn read(&self, stream: Stream, from: Offset, max: usize, wait: Duration) -> Result<LogSlice, LogError>;
 }
 
@@ -85,11 +85,11 @@
 pub struct HttpLogService {
     client: HttpClient,
     address: SocketAddr,
-    limit: Duration,
+    timeout: Duration,
 }
 
 /// Largest answer of the log service, in bytes.
-const MAX_ANSWER: usize = 64 << 20;
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
 #[derive(Deserialize)]
 struct Appended {
@@ -97,14 +97,14 @@
 }
 
 impl HttpLogService {
-    /// The log service at an address; a call fails after `limit`.
-    pub fn new(client: HttpClient, address: SocketAddr, limit: Duration) -> Self {
-        Self { client, address, limit }
+    /// A client of the log service at an address; a call fails after `timeout`.
+    pub fn new(client: HttpClient, address: SocketAddr, timeout: Duration) -> Self {
+        Self { client, address, timeout }
     }
 
-    async fn call(&self, request: Request<Full<Bytes>>, limit: Duration) -> Result<Bytes, LogError> {
-        let called = self.client.call(self.address, request, Reuse::Allowed, limit, MAX_ANSWER).await;
-        let answer: Answer = called.context(CallSnafu)?;
+    async fn call(&self, request: Request<Full<Bytes>>, timeout: Duration) -> Result<Bytes, LogError> {
+        let result = self.client.call(self.address, request, Reuse::Allowed, timeout, MAX_ANSWER_BYTES).await;
+        let answer: Answer = result.context(CallSnafu)?;
         answer.expect_ok(self.address).context(CallSnafu)
     }
 }
@@ -113,7 +113,7 @@
 impl LogService for HttpLogService {
     async fn append(&self, stream: Stream, data: String) -> Result<Offset, LogError> {
         let uri = format!("http://{}/streams/{stream}", self.address);
-        let body = self.call(post(&uri, data), self.limit).await?;
+        let body = self.call(post(&uri, data), self.timeout).await?;
         let appended: Appended = serde_json::from_slice(&body).context(AnswerSnafu)?;
         Ok(appended.offset)
     }
@@ -121,7 +121,7 @@
     async fn read(&self, stream: Stream, from: Offset, max: usize, wait: Duration) -> Result<LogSlice, LogError> {
         let wait_ms = wait.as_millis();
         let uri = format!("http://{}/streams/{stream}?from={from}&max={max}&wait_ms={wait_ms}", self.address);
-        let body = self.call(get(&uri), self.limit + wait).await?;
+        let body = self.call(get(&uri), self.timeout + wait).await?;
         serde_json::from_slice(&body).context(AnswerSnafu)
     }
 }
--- a/havengrade_router/src/platform/rating.rs
+++ b/havengrade_router/src/platform/rating.rs
@@ -8,10 +8,10 @@
 
 use crate::http::{HttpClient, HttpError, Reuse, post};
 
-/// An answer to be rated.
+/// A request to rate an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RatingRequest {
-    /// Request class.
+    /// Class of the request.
     pub class: ClassId,
     /// Version that gave the answer.
     pub version: VersionId,
@@ -24,7 +24,7 @@
 /// The rating service.
 #[async_trait]
 pub trait Rating: Send + Sync {
-    /// Rates an answer, in thousandths.
+    /// Rates an answer; returns its score in thousandths.
     async fn rate(&self, request: &RatingRequest) -> Result<Permille, HttpError>;
 }
 
@@ -32,7 +32,7 @@
 pub struct HttpRating {
     client: HttpClient,
     address: SocketAddr,
-    limit: Duration,
+    timeout: Duration,
 }
 
 #[derive(Deserialize)]
@@ -40,13 +40,13 @@
     score: Permille,
 }
 
-/// Largest answer of the service, in bytes.
-const MAX_ANSWER: usize = 64 << 10;
+/// Largest answer of the rating service, in bytes.
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
 impl HttpRating {
-    /// The rating service at an address; a call fails after `limit`.
-    pub fn new(client: HttpClient, address: SocketAddr, limit: Duration) -> Self {
-        Self { client, address, limit }
+    /// A client of the rating service at an address; a call fails after `timeout`.
+    pub fn new(client: HttpClient, address: SocketAddr, timeout: Duration) -> Self {
+        Self { client, address, timeout }
     }
 }
 
@@ -55,7 +55,7 @@
     async fn rate(&self, request: &RatingRequest) -> Result<Permille, HttpError> {
         let json = serde_json::to_string(request).unwrap_or_default();
         let call = post(&format!("http://{}/ratings", self.address), json);
-        let answer = self.client.call(self.address, call, Reuse::Allowed, self.limit, MAX_ANSWER).await?;
+        let answer = self.client.call(self.address, call, Reuse::Allowed, self.timeout, MAX_ANSWER_BYTES).await?;
         let body = answer.expect_ok(self.address)?;
         let rated: Rated = serde_json::from_slice(&body)
             .map_err(|error| HttpError::BrokenOff { address: self.address, reason: error.to_string() })?;
--- a/havengrade_router/src/platform/vm_list.rs
+++ b/havengrade_router/src/platform/vm_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving VMs.
+//! The platform's list of VMs, including those about to shut down.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,24 +13,24 @@
 pub struct ListedEndpoint {
     /// Name of the endpoint.
     pub id: EndpointId,
-    /// Whether the platform is about to take its VM away.
+    /// Whether the platform is about to shut down the endpoint's VM.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// The whole list.
+/// The complete list of VMs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmListing {
-    /// VMs of our own.
+    /// VMs of the router.
     pub entries: Vec<ListedVm>,
-    /// VMs of endpoints.
+    /// VMs that run endpoints.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
 /// The VM list.
 #[async_trait]
 pub trait VmList: Send + Sync {
-    /// Reads the list.
+    /// Reads the complete list.
     async fn read(&self) -> Result<VmListing, HttpError>;
 }
 
@@ -38,16 +38,16 @@
 pub struct HttpVmList {
     client: HttpClient,
     address: SocketAddr,
-    limit: Duration,
+    timeout: Duration,
 }
 
 /// Largest list, in bytes.
-const MAX_LIST: usize = 16 << 20;
+const MAX_LIST_BYTES: usize = 16 << 20;
 
 impl HttpVmList {
-    /// The VM list at an address; a read fails after `limit`.
-    pub fn new(client: HttpClient, address: SocketAddr, limit: Duration) -> Self {
-        Self { client, address, limit }
+    /// A client of the VM list at an address; a read fails after `timeout`.
+    pub fn new(client: HttpClient, address: SocketAddr, timeout: Duration) -> Self {
+        Self { client, address, timeout }
     }
 }
 
@@ -55,7 +55,7 @@
 impl VmList for HttpVmList {
     async fn read(&self) -> Result<VmListing, HttpError> {
         let request = get(&format!("http://{}/vms", self.address));
-        let answer = self.client.call(self.address, request, Reuse::Allowed, self.limit, MAX_LIST).await?;
+        let answer = self.client.call(self.address, request, Reuse::Allowed, self.timeout, MAX_LIST_BYTES).await?;
         let body = answer.expect_ok(self.address)?;
         serde_json::from_slice(&body)
             .map_err(|error| HttpError::BrokenOff { address: self.address, reason: error.to_string() })
