--- a/havengrade_router/src/published/event_stream.rs
+++ b/havengrade_router/src/published/event_stream.rs
@@ -1,4 +1,4 @@
-//! Streams of events: passed on whole and in order, and taken up at another endpoint where one breaks off.
+//! Streams of events: forwards whole events in order and resumes a broken stream at another endpoint.
 
 use std::time::Duration;
 
@@ -35,35 +35,36 @@
     },
 };
 
-/// Pieces of a stream that wait for a caller who reads slowly.
+/// Chunks of a stream that are buffered for a caller who reads slowly.
 const MAX_WAITING_CHUNKS: usize = 4;
-/// Pause after which a stream is taken up elsewhere, as a multiple of the pause that counts as in time.
+/// Pause between events after which a stream is resumed at another endpoint, as a multiple of the target of its route.
 const STALL_TIMEOUT_FACTOR: u32 = 2;
-/// Pause after which a stream is taken up elsewhere, where its route names no pause.
+/// Pause between events after which a stream is resumed at another endpoint if its route sets no target.
 const DEFAULT_STALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Ends an event.
+/// Empty line that ends an event.
 const EVENT_END: &[u8] = b"\n\n";
-/// Largest event, in bytes.
+/// Largest event that is buffered, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Complete events, as they came.
+/// Complete events, byte for byte as the endpoint sent them.
 struct EventChunk {
     bytes: Bytes,
     events: u32,
     last_id: Option<String>,
 }
 
-/// Why a stream did not go on.
+/// Why a stream broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StreamFault {
-    /// The connection ended too early.
+    /// The connection or the stream ended within an event, or an event was too large.
     CutOff,
-    /// Nothing came for too long.
+    /// No event came within the stall timeout.
     Stalled,
 }
 
 impl StreamFault {
-    fn name(self) -> &'static str {
+    /// Reason in logs and metrics.
+    fn reason(self) -> &'static str {
         match self {
             Self::CutOff => "the stream broke off",
             Self::Stalled => "the stream stalled",
@@ -71,7 +72,7 @@
     }
 }
 
-/// The events of one run at an endpoint.
+/// The stream of one attempt at an endpoint.
 struct EndpointStream {
     attempt: Attempt,
     connection: EndpointConnection,
@@ -87,21 +88,21 @@
         Self { attempt, connection, body, buf: BytesMut::new(), in_flight, event_timer: EventTimer::default() }
     }
 
-    /// Notes that events came.
+    /// Records the time per event.
     fn record_events(&mut self, cx: &PublishedContext, request: &ActiveRequest, events: u32) {
         if let Some(pause) = self.event_timer.record_events(events, cx.shared.clock.now()) {
             record_event_time(cx, request, &self.attempt, pause);
         }
     }
 
-    /// Notes the time per event of a run that ended before it could be measured, or that nobody waits for any longer.
+    /// Records the time per event of a stream that ended, or that nobody reads any longer, before it was measured.
     fn record_remaining_event_time(&mut self, cx: &PublishedContext, request: &ActiveRequest) {
         if let Some(pause) = self.event_timer.finish(cx.shared.clock.now()) {
             record_event_time(cx, request, &self.attempt, pause);
         }
     }
 
-    /// The next complete events; none at the end of the stream.
+    /// Reads the next complete events; none at the end of the stream.
     async fn next(&mut self, limit: Duration) -> Result<Option<EventChunk>, StreamFault> {
         timeout(limit, self.read()).await.unwrap_or(Err(StreamFault::Stalled))
     }
@@ -129,7 +130,7 @@
     }
 }
 
-/// Takes all complete events out of a buffer; an event ends with an empty line.
+/// Splits all complete events off a buffer; an event ends with an empty line.
 fn split_complete_events(buf: &mut BytesMut) -> Option<EventChunk> {
     let end = buf.windows(EVENT_END.len()).rposition(|end| end == EVENT_END)? + EVENT_END.len();
     let bytes = buf.split_to(end).freeze();
@@ -138,7 +139,7 @@
     Some(EventChunk { bytes, events, last_id })
 }
 
-/// The id of the last event that has one.
+/// Returns the id of the last event that has one.
 fn last_event_id(bytes: &[u8]) -> Option<String> {
     let mut lines = bytes.rsplit(|byte| *byte == b'\n');
     let id = lines.find_map(|line| line.strip_prefix(b"id:"))?;
@@ -146,11 +147,14 @@
     std::str::from_utf8(id).ok().map(|id| id.trim().to_owned())
 }
 
-/// Begins a stream: waits for its first events, so that an answer that breaks off before costs the caller nothing.
+/// Starts a stream to the caller.
+///
+/// The first events are awaited before the caller gets the head of the answer, so that an attempt without any event
+/// can still be replaced by another one.
 ///
 /// # Errors
 ///
-/// How far the request got, where no event came.
+/// [`RunState`] of the request if no event came.
 pub(super) async fn start(
     cx: &PublishedContext,
     request: &ActiveRequest,
@@ -167,7 +171,7 @@
     let first = match upstream.next(first_event_timeout).await {
         Ok(first) => first,
         Err(fault) => {
-            log_failed_attempt(request, &upstream.attempt.endpoint, fault.name());
+            log_failed_attempt(request, &upstream.attempt.endpoint, fault.reason());
             if fault == StreamFault::CutOff {
                 first_byte_timer.stop();
                 record_broken_outcome(cx, request, &upstream.attempt.endpoint);
@@ -184,20 +188,20 @@
     let status = head.status;
     record_answer_metrics(request, status, now);
     let head = encode_answer_head(cx, head);
-    let (caller, rx) = mpsc::channel(MAX_WAITING_CHUNKS);
+    let (caller, chunks) = mpsc::channel(MAX_WAITING_CHUNKS);
     let relay = StreamRelay { cx: cx.clone(), last_id: None, first_after, resumed: 0, caller };
     let guard = guard.take();
     let request = request.clone();
-    let end = cx.forced_shutdown.clone();
+    let forced_shutdown = cx.forced_shutdown.clone();
     tokio::spawn(async move {
         let _guard = guard;
-        end.run_until_cancelled(relay.run(request, upstream, first)).await;
+        forced_shutdown.run_until_cancelled(relay.run(request, upstream, first)).await;
     });
-    let chunks = stream::unfold(rx, |mut rx| async move { rx.recv().await.map(|chunk| (chunk, rx)) });
-    Ok(Response::from_parts(head, StreamBody::new(chunks).boxed_unsync()))
+    let body = stream::unfold(chunks, |mut chunks| async move { chunks.recv().await.map(|chunk| (chunk, chunks)) });
+    Ok(Response::from_parts(head, StreamBody::new(body).boxed_unsync()))
 }
 
-/// Passes a stream on to a caller.
+/// Relays a stream to a caller, across the attempts that supply it.
 struct StreamRelay {
     cx: PublishedContext,
     last_id: Option<String>,
@@ -206,19 +210,20 @@
     caller: Sender<Result<Frame<Bytes>, BodyError>>,
 }
 
-/// How the relay of one run ended.
+/// How the stream of one attempt ended.
 enum RelayEnd {
     /// The stream is complete.
     Complete,
     /// The caller has left.
     CallerLeft,
-    /// The time of the request is over.
+    /// The deadline of the request has passed.
     TimeOver,
-    /// The run broke off.
+    /// The stream broke.
     Broken(StreamFault),
 }
 
 impl StreamRelay {
+    /// Relays the stream until it is complete or can't be resumed.
     async fn run(mut self, mut request: ActiveRequest, mut upstream: EndpointStream, first: Option<EventChunk>) {
         request.attempts.record(RunState::Ran);
         let mut next = first;
@@ -229,41 +234,42 @@
                 RelayEnd::Complete => return self.finish(&request, upstream),
                 RelayEnd::CallerLeft => {
                     record_abandoned_attempt(&self.cx, &request, &upstream.attempt.endpoint, upstream.attempt.sent_at);
-                    return self.log_end(&request, Some(&upstream.attempt.endpoint), "the caller left");
+                    return self.record_end(&request, Some(&upstream.attempt.endpoint), "the caller left");
                 },
                 RelayEnd::TimeOver => {
                     record_abandoned_attempt(&self.cx, &request, &upstream.attempt.endpoint, upstream.attempt.sent_at);
-                    self.log_end(&request, Some(&upstream.attempt.endpoint), "the time limit was reached");
+                    self.record_end(&request, Some(&upstream.attempt.endpoint), "the time limit was reached");
                     return self.abort("the time limit was reached").await;
                 },
                 RelayEnd::Broken(fault) => fault,
             };
-            log_failed_attempt(&request, &upstream.attempt.endpoint, fault.name());
+            log_failed_attempt(&request, &upstream.attempt.endpoint, fault.reason());
             if fault == StreamFault::CutOff {
                 record_broken_outcome(&self.cx, &request, &upstream.attempt.endpoint);
             }
             record_broken_attempt(&self.cx, &request, &upstream.attempt.endpoint, upstream.attempt.sent_at);
             record_failure(&self.cx, &upstream.attempt.endpoint);
-            // The run that broke off is ended before another one goes on.
+            // Closes the connection of the broken attempt before another one continues the stream.
             drop(upstream);
             match self.resume(&mut request).await {
                 Some(resumed) => upstream = resumed,
                 None => {
-                    self.log_end(&request, None, fault.name());
-                    return self.abort(fault.name()).await;
+                    self.record_end(&request, None, fault.reason());
+                    return self.abort(fault.reason()).await;
                 },
             }
         }
     }
 
-    /// Passes on the events of one run until it ends.
+    /// Relays the events of one attempt until its stream ends.
     async fn relay(
         &mut self,
         request: &ActiveRequest,
         upstream: &mut EndpointStream,
         first: Option<EventChunk>,
     ) -> RelayEnd {
-        let stall = request.route.pause_target.map_or(DEFAULT_STALL_TIMEOUT, |pause| pause * STALL_TIMEOUT_FACTOR);
+        let stall_timeout =
+            request.route.pause_target.map_or(DEFAULT_STALL_TIMEOUT, |pause| pause * STALL_TIMEOUT_FACTOR);
         let mut next = first;
         loop {
             if let Some(chunk) = next.take() {
@@ -279,18 +285,18 @@
             let read = tokio::select! {
                 biased;
                 () = self.caller.closed() => return RelayEnd::CallerLeft,
-                read = upstream.next(stall.min(left)) => read,
+                read = upstream.next(stall_timeout.min(left)) => read,
             };
             match read {
                 Ok(Some(chunk)) => next = Some(chunk),
                 Ok(None) => return RelayEnd::Complete,
-                Err(StreamFault::Stalled) if left <= stall => return RelayEnd::TimeOver,
+                Err(StreamFault::Stalled) if left <= stall_timeout => return RelayEnd::TimeOver,
                 Err(fault) => return RelayEnd::Broken(fault),
             }
         }
     }
 
-    /// Hands events to the caller's connection; tells whether it is still there.
+    /// Sends events to the caller; returns whether the caller is still connected.
     async fn send_to_caller(&mut self, chunk: EventChunk) -> bool {
         if chunk.last_id.is_some() {
             self.last_id = chunk.last_id;
@@ -298,7 +304,7 @@
         self.caller.send(Ok(Frame::data(chunk.bytes))).await.is_ok()
     }
 
-    /// Takes the stream up at another endpoint.
+    /// Resumes the stream at another endpoint, after the last event that the caller got.
     async fn resume(&mut self, request: &mut ActiveRequest) -> Option<EndpointStream> {
         let is_resumable = matches!(request.route.shape, AnswerShape::Events { is_resumable: true });
         let last_id = self.last_id.clone().or_else(|| request.attributes.last_event.clone());
@@ -308,12 +314,15 @@
                 return None;
             }
             if !may_resume(&self.cx, request).await {
-                log::info!(request = request.id.as_str(); "stream not taken up: endpoints end under its request");
+                log::info!(
+                    request = request.id.as_str();
+                    "stream not resumed: the request is suspected of crashing endpoints"
+                );
                 return None;
             }
             let chosen = choose_endpoint(&self.cx, request, now)?;
             if !self.cx.shared.retry_budgets.try_acquire(&request.service) {
-                log::info!(request = request.id.as_str(); "stream not taken up: the retry budget is spent");
+                log::info!(request = request.id.as_str(); "stream not resumed: the retry budget is exhausted");
                 return None;
             }
             request.tried_endpoints.push(chosen.endpoint.id.clone());
@@ -350,35 +359,38 @@
         None
     }
 
+    /// Logs the resumption and returns the stream of the new attempt.
     fn resumed_stream(&self, request: &ActiveRequest, answered: AnsweredAttempt) -> EndpointStream {
         log::info!(
             request = request.id.as_str(),
             endpoint = answered.attempt.endpoint.id.as_str(),
             after_event = self.last_id.as_deref().unwrap_or_default();
-            "stream taken up"
+            "stream resumed"
         );
         EndpointStream::new(answered)
     }
 
+    /// Records a complete stream and returns its connection to the pool.
     fn finish(self, request: &ActiveRequest, upstream: EndpointStream) {
         let EndpointStream { attempt: Attempt { endpoint, .. }, connection, .. } = upstream;
         record_outcome(&self.cx, request, &endpoint, None);
         extend_session(&self.cx, request, &endpoint.version);
         record_success(&self.cx, &endpoint);
         record_answer(&self.cx, request, &endpoint.version, self.cx.shared.clock.now());
-        self.log_end(request, Some(&endpoint), "complete");
+        self.record_end(request, Some(&endpoint), "complete");
         self.cx.shared.connection_pool.release(&endpoint.id, connection, self.cx.shared.clock.now());
     }
 
-    /// Ends the caller's connection visibly unfinished.
+    /// Aborts the body of the answer, so that the caller sees that the stream is incomplete.
     async fn abort(self, reason: &'static str) {
         metrics::counter!("streams_broken_off", "reason" => reason).increment(1);
         let error: BodyError = reason.into();
-        // A caller who has left does not need to be told.
+        // Sending fails only if the caller has left, who needs no error then.
         drop(self.caller.send(Err(error)).await);
     }
 
-    fn log_end(&self, request: &ActiveRequest, endpoint: Option<&ListedEndpoint>, outcome: &str) {
+    /// Releases the session and logs the end of the stream.
+    fn record_end(&self, request: &ActiveRequest, endpoint: Option<&ListedEndpoint>, outcome: &str) {
         release_session(&self.cx, request.attributes.session.as_deref());
         let took = self.cx.shared.clock.now().duration_since(request.received_at).unwrap_or_default();
         log::info!(
--- a/havengrade_router/src/published/refusal.rs
+++ b/havengrade_router/src/published/refusal.rs
@@ -1,4 +1,4 @@
-//! Final answers of the router's own.
+//! Refusals: the router's own answers to requests that got no answer from an endpoint.
 
 use std::time::{Duration, SystemTime};
 
@@ -14,62 +14,62 @@
 
 /// Body of an answer to a caller.
 pub type AnswerBody = UnsyncBoxBody<Bytes, BodyError>;
-/// Why a body that has begun can't be finished; the connection then ends visibly unfinished.
+/// Error that aborts a body after its start; the connection is closed before the end of the body.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Why a request gets no answer of an endpoint.
+/// Why a request gets no answer from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The request's head or body can't be understood in one way only.
+    /// The head or body of the request is invalid or ambiguous.
     Malformed,
-    /// No route has this host and path.
+    /// No route matches the host and path.
     NoRoute,
     /// The key belongs to no client account.
     UnknownKey,
     /// The body is larger than the limit.
     TooLarge,
-    /// The configuration or the endpoints are not known yet.
+    /// The VM is starting: the configuration or the endpoints are not known yet.
     Starting,
-    /// It can't be known whether the key still holds.
+    /// The configuration is too old to tell whether the key or the route is valid.
     StaleConfig,
-    /// A planned stop would cut the answer off.
+    /// The graceful shutdown of the VM would cut the answer off.
     Stopping,
-    /// No endpoint could take the request, which did not run.
+    /// No endpoint was available; the request did not run.
     NoEndpoint,
-    /// No endpoint that could serve the request takes another one now: each is cold, at its limit, or wants rest.
+    /// All endpoints that could serve the request are cold, at their limits, or in a backoff that they requested.
     EndpointsAtLimit {
-        /// Time until the first of them does.
+        /// Time until the first of them accepts another request.
         retry_after: Duration,
     },
-    /// All endpoints that could serve the request leave.
+    /// All endpoints that could serve the request are shutting down.
     EndpointsShuttingDown,
-    /// All endpoints that could serve the request stand in emptied failure domains.
+    /// All endpoints that could serve the request are in emptied failure domains.
     DomainsEmptied {
-        /// Time for which they have been, as far as is known.
+        /// Time for which the domains are known to have been emptied.
         known_for: Duration,
     },
-    /// The only version that is there was found to be bad.
+    /// All listed endpoints run a version whose roll-out was halted.
     BadVersion,
-    /// The version of its session is gone; it may begin a new one after a time.
+    /// No endpoint runs the version of the session any longer; the caller may start a new session later.
     SessionVersionGone {
         /// Time until the session ends.
         left: Duration,
     },
-    /// Endpoints end under the request, and it is held back.
+    /// The request is quarantined because endpoints crash when they run it.
     Quarantined {
-        /// Time after which it may come back.
+        /// Time after which the request may be retried.
         retry_after: Duration,
     },
-    /// The time was over before the request could be sent.
+    /// The time limit was reached before the request could be sent.
     NoTimeLeft,
-    /// The request may have run, and no answer came.
+    /// The request may have run, but no answer came.
     Lost,
-    /// The request may have run, and no answer came in time.
+    /// The request may have run, but no answer came in time.
     TimedOut,
 }
 
 impl Refusal {
-    /// Its name in logs, metrics and answers.
+    /// Name of the refusal in logs, metrics and answers.
     pub fn name(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Status of the answer; 503 promises that the request did not run.
+    /// Status of the answer; 503 guarantees that the request did not run.
     pub fn status(self) -> StatusCode {
         match self {
             Self::Malformed => StatusCode::BAD_REQUEST,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// What keeps a request that did not run from being served; none where it may have run or never can.
+    /// Reason that determines the `retry-after` header; none if the request may have run or can never succeed.
     fn retry_reason(self, cx: &PublishedContext, now: SystemTime) -> Option<RetryReason> {
         match self {
             Self::Starting => Some(RetryReason::StoreUnreachable { known_for: cx.shared.uptime(now) }),
@@ -131,12 +131,12 @@
         }
     }
 
-    /// Whether the connection should end, so that the caller's next one reaches a VM that can serve.
+    /// Whether the connection is closed, so that the load balancer can send the caller's next one to another VM.
     fn closes_connection(self) -> bool {
         matches!(self, Self::Malformed | Self::TooLarge | Self::Starting | Self::StaleConfig | Self::Stopping)
     }
 
-    /// The answer, with the time to come back where the request did not run.
+    /// Builds the answer, with a `retry-after` header if the request did not run and may be retried.
     pub fn answer(self, cx: &PublishedContext, now: SystemTime) -> Response<AnswerBody> {
         let body = format!("{{\"error\":\"{}\"}}", self.name());
         let mut answer = Response::new(full_body(Bytes::from(body)));
@@ -157,7 +157,7 @@
     }
 }
 
-/// A body that is there as a whole.
+/// Creates a body from bytes that are all available.
 pub fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
--- a/havengrade_router/src/published/retry_budgets.rs
+++ b/havengrade_router/src/published/retry_budgets.rs
@@ -1,4 +1,4 @@
-//! The retries that this VM may still make, by service.
+//! Retry budgets of this VM, by service.
 
 use std::{
     collections::HashMap,
@@ -12,50 +12,50 @@
 
 use crate::shared::lock;
 
-/// Part of the bound on retries that is used; the rest covers requests that are counted in another window.
+/// Share of the operators' bound that is used; the rest covers requests that are counted in another window.
 const RETRY_SHARE: f64 = 0.9;
-/// Hundredths in a whole.
+/// Converts a ratio to percent.
 const PERCENT: f64 = 100.0;
-/// Retries that a VM may save up for each service; small, since all VMs share the operators' allowance.
+/// Retries that a VM may accumulate for each service; small, since the operators' bound holds for all VMs together.
 const SAVED_RETRIES: u64 = 4;
 
-/// A budget of retries for each service.
+/// Retry budgets of all services.
 #[derive(Debug)]
 pub struct RetryBudgets {
-    /// What a first try adds, in hundredths of a retry.
-    earned_percent: AtomicU32,
+    /// Retries that a first try adds to the budget, in percent.
+    retry_percent: AtomicU32,
     budgets: Mutex<HashMap<ServiceId, RetryBudget>>,
 }
 
 impl RetryBudgets {
-    /// Budgets to which each first try adds a part of `ratio`, the operators' bound.
+    /// Creates budgets to which each first try adds a share of `ratio`, the operators' bound on retries.
     pub fn new(ratio: f64) -> Self {
-        Self { earned_percent: AtomicU32::new(earned_percent(ratio)), budgets: Mutex::default() }
+        Self { retry_percent: AtomicU32::new(retry_percent(ratio)), budgets: Mutex::default() }
     }
 
-    /// Puts another bound in force.
+    /// Changes the bound of all budgets.
     pub fn set_ratio(&self, ratio: f64) {
-        let percent = earned_percent(ratio);
-        self.earned_percent.store(percent, Ordering::Relaxed);
+        let percent = retry_percent(ratio);
+        self.retry_percent.store(percent, Ordering::Relaxed);
         lock(&self.budgets).values_mut().for_each(|budget| budget.set_retry_percent(percent));
     }
 
-    /// Notes a first try at a service.
+    /// Adds to the budget for a first try at a service.
     pub fn record_first_try(&self, service: &str) {
         self.with_budget(service, RetryBudget::record_first_try);
     }
 
-    /// Takes a retry at a service, if there is one.
+    /// Takes a retry from the budget of a service; returns whether one was left.
     pub fn try_acquire(&self, service: &str) -> bool {
         self.with_budget(service, RetryBudget::try_acquire)
     }
 
-    /// Puts a retry at a service back, since nothing was sent.
+    /// Returns a retry to the budget of a service, since nothing was sent.
     pub fn refund(&self, service: &str) {
         self.with_budget(service, RetryBudget::refund);
     }
 
-    /// Takes a retry at a service, if one more stays for failures.
+    /// Takes a retry from the budget of a service if another one remains for failures.
     pub fn try_acquire_spare(&self, service: &str) -> bool {
         self.with_budget(service, RetryBudget::try_acquire_spare)
     }
@@ -65,11 +65,11 @@
         if let Some(budget) = budgets.get_mut(service) {
             return act(budget);
         }
-        let percent = self.earned_percent.load(Ordering::Relaxed);
+        let percent = self.retry_percent.load(Ordering::Relaxed);
         act(budgets.entry(service.to_owned()).or_insert_with(|| RetryBudget::with_max_saved(percent, SAVED_RETRIES)))
     }
 }
 
-fn earned_percent(ratio: f64) -> u32 {
+fn retry_percent(ratio: f64) -> u32 {
     (ratio * RETRY_SHARE * PERCENT) as u32
 }
--- a/havengrade_router/src/published/send_limits.rs
+++ b/havengrade_router/src/published/send_limits.rs
@@ -1,4 +1,4 @@
-//! The endpoints that take another request from this VM now, as they say or as they are cold.
+//! Applies the send limits of endpoints, from their own signals or because they are cold, to a request.
 
 use std::time::SystemTime;
 
@@ -11,7 +11,7 @@
 
 use crate::published::{active_request::ActiveRequest, context::PublishedContext};
 
-/// What holds back a request to endpoints of its service.
+/// Send limits of the endpoints of one service.
 pub(super) struct ServiceSendLimits<'a> {
     cx: &'a PublishedContext,
     cold_per_s: f64,
@@ -23,7 +23,7 @@
         Self { cx, cold_per_s }
     }
 
-    /// The endpoints that take another request from this VM now.
+    /// Returns the endpoints to which this VM may send another request now.
     pub(super) fn ready_endpoints<'b>(
         &self,
         endpoints: Vec<&'b ListedEndpoint>,
@@ -41,7 +41,7 @@
         endpoints.into_iter().filter(&mut is_ready).collect()
     }
 
-    /// When the first of the endpoints takes another request from this VM.
+    /// Returns when this VM may send another request to the first of the endpoints.
     pub(super) fn earliest_readiness(&self, endpoints: &[&ListedEndpoint], now: SystemTime) -> Readiness {
         let peers = self.cx.shared.peers();
         let mut send_limits = self.cx.shared.send_limits();
@@ -52,7 +52,7 @@
         endpoints.iter().map(readiness).min().unwrap_or(Readiness::Never)
     }
 
-    /// Takes the place of a request that is about to be sent to an endpoint; tells whether there was one.
+    /// Reserves a send to an endpoint; returns whether the limits allow it.
     pub(super) fn try_reserve(&self, endpoint: &ListedEndpoint, now: SystemTime) -> bool {
         let peers = self.cx.shared.peers();
         let query = self.query(&peers, endpoint, now);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Whether this VM is one of those that send to an endpoint that takes few requests.
+    /// Whether this VM is a holder of the limit of an endpoint, one of the few VMs that share it in this round.
     fn is_holder(&self, peers: &Peers, endpoint: &ListedEndpoint, round: u64) -> bool {
         let vm = &self.cx.shared.settings.vm;
         is_holder((&vm.id, &vm.failure_domain), peers.all(), endpoint, round)
--- a/havengrade_router/src/published/signals.rs
+++ b/havengrade_router/src/published/signals.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves in their answers: taken from whichever answer tells it, and from other VMs.
+//! Signals of endpoints on their limits, shutdowns and backoff, from the heads of answers and from other VMs.
 
 use std::time::SystemTime;
 
@@ -10,11 +10,12 @@
 
 use crate::published::{active_request::ActiveRequest, context::PublishedContext, ports::AnswerHead};
 
-/// Who reported what is noted.
+/// Source of a change that an answer to this VM signals.
 const OWN_ANSWER: &str = "answer";
+/// Source of a change that another VM reports.
 const OTHER_VM: &str = "vm";
 
-/// Takes what the head of an answer says of its endpoint; that of another endpoint at its address says nothing of it.
+/// Records the load and the signals in the head of an answer, unless another endpoint answered at the address.
 pub(super) fn record_answer_signals(
     cx: &PublishedContext,
     request: &ActiveRequest,
@@ -43,7 +44,7 @@
     }
 }
 
-/// Takes what another VM tells of endpoints.
+/// Merges the signals of endpoints that another VM reports.
 pub(super) fn merge_reported_signals(cx: &PublishedContext, reported: Vec<ReportedSignal>, now: SystemTime) {
     let changes = cx.shared.send_limits().signals.merge_reported(reported, now);
     for (endpoint, change) in changes {
@@ -56,7 +57,7 @@
         SignalChange::Limited(per_s) => {
             log::info!(endpoint = endpoint, per_s = per_s, by = source; "endpoint names a limit");
         },
-        SignalChange::Unlimited => log::info!(endpoint = endpoint, by = source; "endpoint names no limit any longer"),
+        SignalChange::Unlimited => log::info!(endpoint = endpoint, by = source; "endpoint no longer names a limit"),
         SignalChange::ShuttingDown => log::info!(endpoint = endpoint, by = source; "endpoint says that it leaves"),
         SignalChange::BackoffRequested(backoff) => {
             let rest_ms = backoff.as_millis() as u64;
