--- a/havengrade_dev/tests/operators.rs
+++ b/havengrade_dev/tests/operators.rs
@@ -9,7 +9,7 @@
     scenario::{CHEAP, OPERATOR, OPERATOR_KEY},
     stand_in::LogFault,
 };
-use havengrade_router::services::operators::answer;
+use havengrade_router::services::operators::execute_call;
 use havengrade_rpc::{
     OperatorCall, OperatorError, OperatorReply, OperatorResult, decode_call, encode_reply,
     operators::{ChangeReply, ChangeStatus, Credentials, Plan},
@@ -21,7 +21,7 @@
 
 async fn call(bench: &Bench, vm: &str, call: OperatorCall) -> OperatorResult {
     let credentials = Credentials::new(OPERATOR.to_owned(), OPERATOR_KEY.to_owned());
-    answer(bench.fleet.routers[vm].context(), &credentials, call).await
+    execute_call(bench.fleet.routers[vm].context(), &credentials, call).await
 }
 
 async fn plan(bench: &Bench, vm: &str, file: &str) -> Plan {
@@ -131,7 +131,7 @@
     for (name, key) in [(OPERATOR, "wrong"), ("nobody", OPERATOR_KEY), (OPERATOR, "")] {
         let credentials = Credentials::new(name.to_owned(), key.to_owned());
         let cx = bench.fleet.routers["vm-1"].context();
-        let fault = answer(cx, &credentials, OperatorCall::Status).await.unwrap_err();
+        let fault = execute_call(cx, &credentials, OperatorCall::Status).await.unwrap_err();
         assert!(matches!(fault, OperatorError::Unauthenticated(_)));
     }
     let shown = call(&bench, "vm-1", OperatorCall::Show { kind: "session_key".into() }).await.unwrap();
--- a/havengrade_dev/tests/rollout.rs
+++ b/havengrade_dev/tests/rollout.rs
@@ -7,7 +7,7 @@
 
 use havengrade_core::config::{BaseRevision, Change, Item, Rollout, RolloutState, ScopedChange};
 use havengrade_dev::scenario::{CHEAP, CHEAP_NEXT, OPERATOR, OPERATOR_KEY};
-use havengrade_router::services::operators::answer;
+use havengrade_router::services::operators::execute_call;
 use havengrade_rpc::{OperatorCall, operators::Credentials};
 use support::{Bench, chat};
 use tokio::time::sleep;
@@ -26,7 +26,7 @@
     let changes_json = serde_json::to_string(&[ScopedChange { base: BaseRevision::Absent, change }]).unwrap();
     let credentials = Credentials::new(OPERATOR.to_owned(), OPERATOR_KEY.to_owned());
     let apply = OperatorCall::Apply { change_id: "begin".into(), reason: "new version".into(), changes_json };
-    answer(bench.fleet.routers["vm-1"].context(), &credentials, apply).await.unwrap();
+    execute_call(bench.fleet.routers["vm-1"].context(), &credentials, apply).await.unwrap();
 }
 
 async fn send(bench: &Bench, count: usize, tag: &str) {
--- a/havengrade_dev/tests/routes.rs
+++ b/havengrade_dev/tests/routes.rs
@@ -11,7 +11,7 @@
     fleet::router_host,
     scenario::{OPERATOR, OPERATOR_KEY, key_of},
 };
-use havengrade_router::{services::operators::answer, settings::Settings};
+use havengrade_router::{services::operators::execute_call, settings::Settings};
 use havengrade_rpc::{
     OperatorCall, OperatorReply,
     operators::{ChangeStatus, Credentials},
@@ -58,11 +58,11 @@
 async fn apply(bench: &Bench, id: &str, file: &str) {
     let router = bench.fleet.routers["vm-1"].context();
     let credentials = Credentials::new(OPERATOR.to_owned(), OPERATOR_KEY.to_owned());
-    let plan = answer(router, &credentials, OperatorCall::Plan { change_file: file.to_owned() }).await.unwrap();
+    let plan = execute_call(router, &credentials, OperatorCall::Plan { change_file: file.to_owned() }).await.unwrap();
     let OperatorReply::Plan(plan) = plan else { panic!("{plan:?}") };
     let (change_id, reason) = (id.to_owned(), "test".to_owned());
     let call = OperatorCall::Apply { change_id, reason, changes_json: plan.changes_json };
-    match answer(router, &credentials, call).await.unwrap() {
+    match execute_call(router, &credentials, call).await.unwrap() {
         OperatorReply::Change(reply) => assert_eq!(reply.status, ChangeStatus::ACCEPTED),
         other => panic!("{other:?}"),
     }
--- a/havengrade_router/src/services/operators.rs
+++ b/havengrade_router/src/services/operators.rs
@@ -102,7 +102,7 @@
     let mut stream = framed(connection, cx.shared.settings.limits.max_frame_bytes);
     while let Ok(Some(frame)) = timeout(IDLE_TIMEOUT, stream.next()).await {
         let reply = match frame {
-            Ok(frame) => answer_frame(&cx, &frame).await,
+            Ok(frame) => handle_frame(&cx, &frame).await,
             Err(error) => Err(error.to_string()),
         };
         match reply {
@@ -119,9 +119,9 @@
     }
 }
 
-async fn answer_frame(cx: &Context, frame: &[u8]) -> Result<Vec<u8>, String> {
+async fn handle_frame(cx: &Context, frame: &[u8]) -> Result<Vec<u8>, String> {
     let (credentials, call) = decode_call(frame).map_err(|error| error.to_string())?;
-    let result = answer(cx, &credentials, call).await;
+    let result = execute_call(cx, &credentials, call).await;
     encode_reply(frame, result).map_err(|error| error.to_string())
 }
 
@@ -130,7 +130,7 @@
 /// # Errors
 ///
 /// The [`OperatorError`] says whether the caller, a field or the VM is at fault.
-pub async fn answer(cx: &Context, credentials: &Credentials, call: OperatorCall) -> OperatorResult {
+pub async fn execute_call(cx: &Context, credentials: &Credentials, call: OperatorCall) -> OperatorResult {
     let author = authenticate(cx, credentials)?;
     match call {
         OperatorCall::Plan { change_file } => plan(cx, &change_file).map(OperatorReply::Plan),
--- a/havengrade_router/src/services/peers/server.rs
+++ b/havengrade_router/src/services/peers/server.rs
@@ -54,7 +54,7 @@
                 return;
             },
         };
-        let Some(reply) = answer(&cx, request).await else { return };
+        let Some(reply) = handle_request(&cx, request).await else { return };
         let Ok(bytes) = encode(&reply) else { return };
         count_bytes(&cx, "sent", bytes.len());
         if stream.send(Bytes::from(bytes)).await.is_err() {
@@ -63,7 +63,7 @@
     }
 }
 
-async fn answer(cx: &Context, request: PeerRequest) -> Option<PeerReply> {
+async fn handle_request(cx: &Context, request: PeerRequest) -> Option<PeerReply> {
     match request {
         PeerRequest::Heartbeat(heartbeat) => {
             let members = cx.find::<MembersMessage>(members::NAME)?;
