--- a/havengrade_dev/src/caller.rs
+++ b/havengrade_dev/src/caller.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use havengrade_router::{
-    http::{HttpClient, HttpError, Reuse, get, post},
+    http::{ConnectionReuse, HttpClient, HttpError, get, post},
     net::Network,
     traffic::Problem,
 };
@@ -143,11 +143,11 @@
     ///
     /// [`HttpError`] where no whole answer came.
     pub async fn send(&self, router: SocketAddr, request: Request<Full<Bytes>>) -> Result<Got, HttpError> {
-        let response = self.client.open(router, request, Reuse::Allowed, CALL_LIMIT).await?;
+        let response = self.client.send(router, request, ConnectionReuse::Allowed, CALL_LIMIT).await?;
         let (head, body) = response.into_parts();
         let collected = body.collect().await;
         let collected =
-            collected.map_err(|error| HttpError::BrokenOff { address: router, reason: error.to_string() })?;
+            collected.map_err(|error| HttpError::InvalidBody { address: router, reason: error.to_string() })?;
         Ok(Got { status: head.status, headers: head.headers, body: collected.to_bytes() })
     }
 
--- a/havengrade_dev/src/demo.rs
+++ b/havengrade_dev/src/demo.rs
@@ -13,7 +13,7 @@
     billing::{Bill, Bills},
     ids::Micros,
 };
-use havengrade_router::net::TcpNetwork;
+use havengrade_router::net::SystemNetwork;
 use serde::Serialize;
 use snafu::{ResultExt as _, Snafu};
 
@@ -147,7 +147,7 @@
     let send = |number: usize| async move {
         let (account, ask) = sample(number);
         let router = u8::try_from(number % usize::from(options.routers)).unwrap_or_default();
-        let caller = Caller::new(Arc::new(TcpNetwork), account);
+        let caller = Caller::new(Arc::new(SystemNetwork), account);
         let started = Instant::now();
         let got = caller.ask_until_answered(router_address(options, router), &ask).await;
         Served { ask, got: got.map_err(|error| error.to_string()), elapsed: started.elapsed(), after_change }
--- a/havengrade_dev/src/fabric.rs
+++ b/havengrade_dev/src/fabric.rs
@@ -11,7 +11,7 @@
 
 use async_trait::async_trait;
 use havengrade_router::{
-    net::{BoxConnection, Datagrams, Listener, Network, TcpNetwork},
+    net::{BoxConnection, DatagramSocket, Listener, Network, SystemNetwork},
     shared::lock,
 };
 use tokio::{
@@ -47,7 +47,7 @@
     }
 
     fn network(&self, _host: Host) -> Arc<dyn Network> {
-        Arc::new(TcpNetwork)
+        Arc::new(SystemNetwork)
     }
 }
 
@@ -177,7 +177,7 @@
         Ok(Box::new(PipeListener { rx, at }))
     }
 
-    async fn datagrams(&self, at: SocketAddr) -> io::Result<Arc<dyn Datagrams>> {
+    async fn bind_datagrams(&self, at: SocketAddr) -> io::Result<Arc<dyn DatagramSocket>> {
         let (tx, rx) = mpsc::unbounded_channel();
         lock(&self.pipes.wiring).sockets.insert(at, tx);
         Ok(Arc::new(PipeSocket { pipes: self.pipes.clone(), host: self.host, rx: AsyncMutex::new(rx) }))
@@ -192,7 +192,7 @@
 }
 
 #[async_trait]
-impl Datagrams for PipeSocket {
+impl DatagramSocket for PipeSocket {
     async fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         let socket = lock(&self.pipes.wiring).sockets.get(&to).cloned();
         let is_lost = self.pipes.is_cut(self.host, host_of(to)) || self.pipes.loses();
--- a/havengrade_dev/src/fleet.rs
+++ b/havengrade_dev/src/fleet.rs
@@ -19,7 +19,7 @@
     clock::Clock,
     kernel::StartError,
     platform::{ListedEndpoint, VmListing},
-    router::{Parts, Router},
+    router::{Router, RouterEnvironment},
     settings::{Operator, Settings},
 };
 use snafu::{ResultExt as _, Snafu};
@@ -290,7 +290,7 @@
     /// [`FleetError::Router`] where it does not start.
     pub async fn start_router(&mut self, index: u8) -> Result<(), FleetError> {
         self.starts += 1;
-        let parts = Parts {
+        let parts = RouterEnvironment {
             network: self.options.fabric.network(router_host(index)),
             clock: self.clock,
             seed: self.options.seed.wrapping_add(self.starts),
@@ -322,7 +322,7 @@
         const PAUSE: Duration = Duration::from_millis(25);
         for _ in 0..LOOKS {
             let now = self.clock.now();
-            if self.routers.values().all(|router| router.context().shared.closed(now).is_none()) {
+            if self.routers.values().all(|router| router.context().shared.not_serving_reason(now).is_none()) {
                 return Ok(());
             }
             sleep(PAUSE).await;
--- a/havengrade_dev/src/load.rs
+++ b/havengrade_dev/src/load.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use futures::{StreamExt as _, stream};
 use havengrade_router::{
-    http::{HttpClient, Reuse, post},
-    net::TcpNetwork,
+    http::{ConnectionReuse, HttpClient, post},
+    net::SystemNetwork,
 };
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt as _, Full};
@@ -126,7 +126,7 @@
 }
 
 async fn measure(options: &LoadOptions, to: &[SocketAddr], make: MakeRequest, first: usize) -> Times {
-    let client = HttpClient::new(Arc::new(TcpNetwork), Duration::from_secs(1));
+    let client = HttpClient::new(Arc::new(SystemNetwork), Duration::from_secs(1));
     let started = Instant::now();
     let numbers = stream::iter(first..first + options.requests);
     let call = |number: usize| {
@@ -160,7 +160,7 @@
 async fn call(client: HttpClient, to: SocketAddr, request: Request<Full<Bytes>>) -> Option<(Duration, Duration)> {
     const LIMIT: Duration = Duration::from_secs(30);
     let started = Instant::now();
-    let response = client.open(to, request, Reuse::Allowed, LIMIT).await.ok()?;
+    let response = client.send(to, request, ConnectionReuse::Allowed, LIMIT).await.ok()?;
     let is_success = response.status().is_success();
     let mut body = response.into_body();
     body.frame().await?.ok()?;
@@ -171,7 +171,7 @@
 
 fn chat_request(to: SocketAddr, number: usize) -> Request<Full<Bytes>> {
     let ask = Ask { class: "lot-question".into(), prompt: format!("lot {number}"), stream: true, ..Ask::default() };
-    let mut request = Caller::new(Arc::new(TcpNetwork), "harvest").request(to, &ask);
+    let mut request = Caller::new(Arc::new(SystemNetwork), "harvest").request(to, &ask);
     let body = json!({ "messages": [{ "role": "user", "content": ask.prompt }], "stream": true, "model": CHEAP });
     *request.body_mut() = Full::from(body.to_string());
     if let Ok(id) = HeaderValue::from_str(&format!("direct-{number}")) {
@@ -187,7 +187,7 @@
         key: Some(format!("load-{number}")),
         ..Ask::default()
     };
-    let mut request = Caller::new(Arc::new(TcpNetwork), "gate").request(to, &ask);
+    let mut request = Caller::new(Arc::new(SystemNetwork), "gate").request(to, &ask);
     *request.body_mut() = post("http://x/", json!({ "ticket": number }).to_string()).into_body();
     request
 }
--- a/havengrade_dev/src/schedule/causes.rs
+++ b/havengrade_dev/src/schedule/causes.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use havengrade_router::platform::Stream;
+use havengrade_router::platform::LogStream;
 use tokio::time::sleep;
 
 use super::{CALLERS, Fault, FaultKind, Run};
@@ -112,7 +112,7 @@
             sleep(PAUSE).await;
         }
         self.fleet.lock().await.withdraw_at_once("withdraw", CHEAP);
-        let offset = log.records(Stream::Config).len() as u64 - 1;
+        let offset = log.records(LogStream::Config).len() as u64 - 1;
         // An operator is told "accepted" once a VM has read the change back.
         while !self.is_read(offset).await {
             sleep(PAUSE).await;
@@ -143,7 +143,7 @@
         let Some(router) = taken else { return };
         router.context().shared.start_drain();
         self.recorder.note(Event::DrainBegan { at_ms: self.now_ms(), vm: vm_name(vm) });
-        router.drained().await;
+        router.wait_for_drain().await;
         self.recorder.note(Event::DrainEnded { at_ms: self.now_ms(), vm: vm_name(vm) });
         router.stop().await;
         self.restart(vm).await;
--- a/havengrade_dev/src/schedule/mod.rs
+++ b/havengrade_dev/src/schedule/mod.rs
@@ -101,7 +101,7 @@
                     vm: vm.clone(),
                     run: shared.incarnation,
                     next: shared.config_next(),
-                    open: shared.closed(now).is_none(),
+                    open: shared.not_serving_reason(now).is_none(),
                 });
             }
             drop(fleet);
--- a/havengrade_dev/src/schedule/traffic.rs
+++ b/havengrade_dev/src/schedule/traffic.rs
@@ -100,7 +100,7 @@
         const PAUSE: Duration = Duration::from_millis(200);
         let address = self.pipes.address(router_host(vm), 0);
         let asked = tokio::time::timeout(LIMIT, caller.ask(address, ask)).await;
-        let sent = !matches!(&asked, Ok(Err(error)) if error.surely_not_sent());
+        let sent = !matches!(&asked, Ok(Err(error)) if error.is_known_not_sent());
         let mut got = asked.ok().and_then(Result::ok);
         for poll in 0..POLLS {
             let Some(pending) = got.as_ref().filter(|got| got.status == 202) else { break };
--- a/havengrade_dev/src/stand_in/log.rs
+++ b/havengrade_dev/src/stand_in/log.rs
@@ -9,7 +9,7 @@
     ledger::{Batch, Ledger, LedgerRecord},
 };
 use havengrade_router::{
-    platform::{LogRecord, LogSlice, Stream},
+    platform::{LogRecord, LogSlice, LogStream},
     shared::lock,
 };
 use hyper::{Method, StatusCode};
@@ -79,19 +79,19 @@
     }
 
     /// Forgets the records before an offset, as a retention limit does.
-    pub fn forget_before(&self, stream: Stream, offset: u64) {
+    pub fn forget_before(&self, stream: LogStream, offset: u64) {
         lock(&self.streams).first.insert(stream.to_string(), offset);
     }
 
     /// All records of a stream that were ever appended.
-    pub fn records(&self, stream: Stream) -> Vec<String> {
+    pub fn records(&self, stream: LogStream) -> Vec<String> {
         lock(&self.streams).records.get(&stream.to_string()).cloned().unwrap_or_default()
     }
 
     /// The ledger that the records amount to.
     pub fn ledger(&self) -> Ledger {
         let mut ledger = Ledger::default();
-        for (offset, record) in (0..).zip(self.records(Stream::Ledger)) {
+        for (offset, record) in (0..).zip(self.records(LogStream::Ledger)) {
             if let Ok(batch) = serde_json::from_str::<Batch>(&record) {
                 ledger.replay(offset, &batch);
             }
@@ -101,17 +101,17 @@
 
     /// Records in all batches of the ledger and of the stream of bills.
     pub fn batched_records(&self) -> usize {
-        self.batches(Stream::Ledger).chain(self.batches(Stream::Bills)).map(|batch| batch.records.len()).sum()
+        self.batches(LogStream::Ledger).chain(self.batches(LogStream::Bills)).map(|batch| batch.records.len()).sum()
     }
 
-    fn batches(&self, stream: Stream) -> impl Iterator<Item = Batch> {
+    fn batches(&self, stream: LogStream) -> impl Iterator<Item = Batch> {
         self.records(stream).into_iter().filter_map(|data| serde_json::from_str(&data).ok())
     }
 
     /// The bills that count in all streams.
     pub fn bills(&self) -> Bills {
         let mut bills = Bills::default();
-        for batch in self.batches(Stream::Ledger).chain(self.batches(Stream::Bills)) {
+        for batch in self.batches(LogStream::Ledger).chain(self.batches(LogStream::Bills)) {
             batch.records.iter().filter_map(LedgerRecord::bill).for_each(|bill| _ = bills.add(bill));
         }
         bills
@@ -119,7 +119,7 @@
 
     /// Appends a change as an operator's own tool would.
     pub fn append_config(&self, record: &ConfigRecord) {
-        self.append(&Stream::Config.to_string(), serde_json::to_string(record).unwrap_or_default());
+        self.append(&LogStream::Config.to_string(), serde_json::to_string(record).unwrap_or_default());
     }
 
     /// Appends a record without a call.
--- a/havengrade_dev/tests/operators.rs
+++ b/havengrade_dev/tests/operators.rs
@@ -142,7 +142,7 @@
 async fn operators_drain_any_vm_through_any_other() {
     let bench = Bench::start(3).await;
     call(&bench, "vm-1", OperatorCall::Drain { vm: "vm-3".into() }).await.unwrap();
-    assert!(bench.fleet.routers["vm-3"].drained().await);
+    assert!(bench.fleet.routers["vm-3"].wait_for_drain().await);
     let unknown = call(&bench, "vm-1", OperatorCall::Drain { vm: "vm-9".into() }).await.unwrap_err();
     assert!(matches!(unknown, OperatorError::BadRequest(fault) if fault.field == "vm"));
 }
--- a/havengrade_dev/tests/published.rs
+++ b/havengrade_dev/tests/published.rs
@@ -421,7 +421,7 @@
     let answer = bench.ask(&get("/read/", "r3")).await;
     assert_eq!(status(&answer), "503", "it may take longer than the stop");
     assert_eq!(event_ids(&asking.await.unwrap()), [1, 2]);
-    assert!(bench.router.drained().await);
+    assert!(bench.router.wait_for_drain().await);
     assert!(bench.store.vms().is_empty(), "it has left the list of VMs");
 }
 
--- a/havengrade_dev/tests/published_bytes.rs
+++ b/havengrade_dev/tests/published_bytes.rs
@@ -139,7 +139,7 @@
         paused().block_on(async {
             let bench = Bench::start(vec![vec![]]).await;
             let network = bench.pipes.network(CALLERS);
-            let socket = network.datagrams(bench.pipes.address(CALLERS, 1)).await.unwrap();
+            let socket = network.bind_datagrams(bench.pipes.address(CALLERS, 1)).await.unwrap();
             socket.send(&bytes, bench.pipes.address(ROUTER, 1)).await.unwrap();
             sleep(Duration::from_millis(100)).await;
             assert!(is_alive(&bench).await);
--- a/havengrade_dev/tests/published_crashing_request.rs
+++ b/havengrade_dev/tests/published_crashing_request.rs
@@ -32,7 +32,7 @@
 use havengrade_router::{
     clock::Clock,
     published::{ports::OperatorEvent, router::PublishedRouter},
-    router::Parts,
+    router::RouterEnvironment,
     settings::Settings,
 };
 use rand::{RngExt as _, SeedableRng as _};
@@ -195,8 +195,11 @@
         settings.published.readiness = self.pipes.address(host, 2);
         settings.published.metrics = self.pipes.address(host, 3);
         let origin = SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000);
-        let parts =
-            Parts { network: self.pipes.network(host), clock: Clock::starting_at(origin), seed: u64::from(number) };
+        let parts = RouterEnvironment {
+            network: self.pipes.network(host),
+            clock: Clock::starting_at(origin),
+            seed: u64::from(number),
+        };
         let ports = self.store.ports(&settings.vm.id);
         let router = PublishedRouter::start(settings, parts, ports, &Handle::current()).await.unwrap();
         self.routers.lock().unwrap().push((host, router));
--- a/havengrade_dev/tests/published_fleet.rs
+++ b/havengrade_dev/tests/published_fleet.rs
@@ -18,7 +18,7 @@
 use havengrade_router::{
     clock::Clock,
     published::{ports::OperatorEvent, router::PublishedRouter},
-    router::Parts,
+    router::RouterEnvironment,
     settings::Settings,
 };
 use tokio::{runtime::Handle, time::sleep};
@@ -114,8 +114,11 @@
         settings.published.readiness = self.pipes.address(host, 2);
         settings.published.metrics = self.pipes.address(host, 3);
         let origin = SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000);
-        let parts =
-            Parts { network: self.pipes.network(host), clock: Clock::starting_at(origin), seed: u64::from(host) };
+        let parts = RouterEnvironment {
+            network: self.pipes.network(host),
+            clock: Clock::starting_at(origin),
+            seed: u64::from(host),
+        };
         let ports = self.store.ports(&settings.vm.id);
         self.routers.push(PublishedRouter::start(settings, parts, ports, &Handle::current()).await.unwrap());
     }
--- a/havengrade_dev/tests/rollout.rs
+++ b/havengrade_dev/tests/rollout.rs
@@ -63,7 +63,7 @@
     assert!(before > 0);
     send(&bench, 60, "after").await;
     assert_eq!(started(&bench), before, "no new request goes to the halted version");
-    let records = bench.fleet.log.records(havengrade_router::platform::Stream::Config);
+    let records = bench.fleet.log.records(havengrade_router::platform::LogStream::Config);
     let halts: std::collections::BTreeSet<&str> =
         records.iter().filter_map(|record| record.split("\"change_id\":\"halt-").nth(1)).collect();
     assert!(!halts.is_empty());
--- a/havengrade_dev/tests/routes.rs
+++ b/havengrade_dev/tests/routes.rs
@@ -122,7 +122,7 @@
     let mut bench = start().await;
     let router = bench.fleet.routers.remove("vm-1").unwrap();
     router.context().shared.start_drain();
-    assert!(router.drained().await);
+    assert!(router.wait_for_drain().await);
     router.stop().await;
     let at = bench.pipes.address(router_host(0), PUBLISHED);
     assert!(bench.pipes.network(CALLERS).connect(at).await.is_err());
--- a/havengrade_dev/tests/support/mod.rs
+++ b/havengrade_dev/tests/support/mod.rs
@@ -83,7 +83,7 @@
     pub(crate) fn is_open(&self, index: u8) -> bool {
         let vm = havengrade_dev::fleet::vm_name(index);
         let now = self.fleet.clock().now();
-        self.fleet.routers[&vm].context().shared.closed(now).is_none()
+        self.fleet.routers[&vm].context().shared.not_serving_reason(now).is_none()
     }
 }
 
--- a/havengrade_dev/tests/support/published.rs
+++ b/havengrade_dev/tests/support/published.rs
@@ -21,7 +21,7 @@
     clock::Clock,
     net::BoxConnection,
     published::{ports::OperatorEvent, router::PublishedRouter},
-    router::Parts,
+    router::RouterEnvironment,
     settings::Settings,
 };
 use tokio::{
@@ -134,7 +134,7 @@
         settings.published.readiness = pipes.address(ROUTER, 2);
         settings.published.metrics = pipes.address(ROUTER, 3);
         let origin = SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000);
-        let parts = Parts { network: pipes.network(ROUTER), clock: Clock::starting_at(origin), seed: 7 };
+        let parts = RouterEnvironment { network: pipes.network(ROUTER), clock: Clock::starting_at(origin), seed: 7 };
         let router = PublishedRouter::start(settings, parts, store.ports("vm-1"), &Handle::current()).await.unwrap();
         Self { pipes, store, router, endpoints }
     }
--- a/havengrade_dev/tests/whole_path.rs
+++ b/havengrade_dev/tests/whole_path.rs
@@ -10,7 +10,7 @@
     scenario::{CHEAP, STRONG},
     stand_in::{EngineFault, LogFault, ServiceFault, answer_tokens, expected_answer},
 };
-use havengrade_router::{platform::Stream, traffic::RunState};
+use havengrade_router::{platform::LogStream, traffic::RunState};
 use support::{Bench, bin_tag, chat, check_in};
 use tokio::{
     io::{AsyncReadExt as _, AsyncWriteExt as _},
@@ -285,7 +285,7 @@
         let refused = bench.ask("harvest", 0, &chat("lot-question", "ripe?")).await;
         assert_eq!(refused.problem().unwrap().kind, "draining");
         assert_eq!(refused.problem().unwrap().run_state, RunState::NotRun);
-        bench.fleet.routers["vm-1"].drained().await
+        bench.fleet.routers["vm-1"].wait_for_drain().await
     };
     let (got, is_whole) = tokio::join!(slow, drain);
     assert!(is_whole);
@@ -300,9 +300,9 @@
         sleep(Duration::from_millis(50)).await;
     }
     sleep(Duration::from_secs(2)).await;
-    let records = bench.fleet.log.records(Stream::Config);
+    let records = bench.fleet.log.records(LogStream::Config);
     let newest = records.iter().rposition(|record| record.contains("\"record\":\"snapshot\"")).unwrap();
-    bench.fleet.log.forget_before(Stream::Config, newest as u64);
+    bench.fleet.log.forget_before(LogStream::Config, newest as u64);
     bench.fleet.kill_router(2);
     sleep(Duration::from_millis(10)).await;
     bench.fleet.start_router(2).await.unwrap();
@@ -351,7 +351,7 @@
     let got = bench.ask("gate", 1, &Ask { attempt: Some(2), ..check_in("ticket-1") }).await;
     assert_eq!(got.problem().unwrap().kind, "answer_lost");
     assert_eq!(bench.runs("ticket-1"), 1);
-    let records = bench.fleet.log.records(Stream::Ledger);
+    let records = bench.fleet.log.records(LogStream::Ledger);
     let settled = records.iter().filter(|record| record.contains("may_have_run")).count();
     assert_eq!(settled, 1, "one VM settles it");
     assert_eq!(bench.fleet.log.bills().len(), 1);
@@ -389,7 +389,7 @@
     assert_eq!(bench.fleet.log.bills().len(), 1, "the answer is whole, but more than the pipe holds");
     let router = bench.fleet.routers.remove("vm-1").unwrap();
     router.context().shared.start_drain();
-    assert!(router.drained().await);
+    assert!(router.wait_for_drain().await);
     let read = async {
         sleep(Duration::from_secs(1)).await;
         let mut answer = Vec::new();
--- a/havengrade_replay/src/measure/fleet.rs
+++ b/havengrade_replay/src/measure/fleet.rs
@@ -11,7 +11,7 @@
     fleet::{Fleet, FleetOptions, router_host},
     scenario::CHEAP,
 };
-use havengrade_router::platform::Stream;
+use havengrade_router::platform::LogStream;
 use tokio::{runtime::Builder, time::sleep};
 
 use super::Slopes;
@@ -51,7 +51,7 @@
         for number in 0..CHANGES {
             let started = Instant::now();
             fleet.withdraw_at_once(&format!("change-{number}"), CHEAP);
-            let target = fleet.log.records(Stream::Config).len() as u64;
+            let target = fleet.log.records(LogStream::Config).len() as u64;
             let all_have_it = || fleet.routers.values().all(|router| router.context().shared.config_next() >= target);
             for _ in 0..LOOKS {
                 if all_have_it() {
--- a/havengrade_replay/src/measure/memory.rs
+++ b/havengrade_replay/src/measure/memory.rs
@@ -22,7 +22,7 @@
         kept(|| {
             let catalog = Catalog::new(sample::config(1, count));
             let table = EndpointTable::default();
-            table.configure(catalog.config.endpoints.keys());
+            table.update_endpoints(catalog.config.endpoints.keys());
             (catalog, table)
         })
     };
--- a/havengrade_router/src/http.rs
+++ b/havengrade_router/src/http.rs
@@ -52,7 +52,7 @@
     },
     /// The body of the answer broke off or was too long.
     #[snafu(display("answer of {address} broke off: {reason}"))]
-    BrokenOff {
+    InvalidBody {
         /// The other side.
         address: SocketAddr,
         /// What was wrong.
@@ -66,7 +66,7 @@
     },
     /// The answer was not what was asked for.
     #[snafu(display("{address} answered {status}: {body}"))]
-    Refused {
+    UnexpectedStatus {
         /// The other side.
         address: SocketAddr,
         /// Status of the answer.
@@ -78,7 +78,7 @@
 
 impl HttpError {
     /// Whether the call surely never reached the other side.
-    pub fn surely_not_sent(&self) -> bool {
+    pub fn is_known_not_sent(&self) -> bool {
         matches!(self, Self::NotSent { .. })
     }
 }
@@ -101,13 +101,13 @@
     ///
     /// # Errors
     ///
-    /// [`HttpError::Refused`] for any other status.
-    pub fn expect_ok(self, address: SocketAddr) -> Result<Bytes, HttpError> {
+    /// [`HttpError::UnexpectedStatus`] for any other status.
+    pub fn into_ok_body(self, address: SocketAddr) -> Result<Bytes, HttpError> {
         if self.status == hyper::StatusCode::OK.as_u16() {
             return Ok(self.body);
         }
         let body = String::from_utf8_lossy(&self.body).into_owned();
-        RefusedSnafu { address, status: self.status, body }.fail()
+        UnexpectedStatusSnafu { address, status: self.status, body }.fail()
     }
 }
 
@@ -138,7 +138,7 @@
 
 /// Whether a call may go over a connection that was used before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reuse {
+pub enum ConnectionReuse {
     /// It may.
     Allowed,
     /// It gets a new connection, so that "no connection" proves that nothing was sent.
@@ -164,16 +164,16 @@
     /// # Errors
     ///
     /// [`HttpError::NotSent`], [`HttpError::Lost`] or [`HttpError::TimedOut`].
-    pub async fn open(
+    pub async fn send(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-        reuse: Reuse,
+        reuse: ConnectionReuse,
         limit: Duration,
     ) -> Result<Response<Incoming>, HttpError> {
         let client = match reuse {
-            Reuse::Allowed => &self.pooled,
-            Reuse::Never => &self.fresh,
+            ConnectionReuse::Allowed => &self.pooled,
+            ConnectionReuse::Never => &self.fresh,
         };
         let Ok(result) = timeout(limit, client.request(request)).await else {
             return TimedOutSnafu { address }.fail();
@@ -189,20 +189,20 @@
     ///
     /// # Errors
     ///
-    /// Those of [`Self::open`] and [`HttpError::BrokenOff`].
+    /// Those of [`Self::send`] and [`HttpError::InvalidBody`].
     pub async fn call(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-        reuse: Reuse,
+        reuse: ConnectionReuse,
         limit: Duration,
         max_body: usize,
     ) -> Result<Answer, HttpError> {
         let whole = async {
-            let response = self.open(address, request, reuse, limit).await?;
+            let response = self.send(address, request, reuse, limit).await?;
             let (head, body) = response.into_parts();
             let collected = Limited::new(body, max_body).collect().await;
-            let collected = collected.map_err(|error| HttpError::BrokenOff { address, reason: error.to_string() })?;
+            let collected = collected.map_err(|error| HttpError::InvalidBody { address, reason: error.to_string() })?;
             let content_type = head.headers.get(CONTENT_TYPE);
             let content_type = content_type.and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
             Ok(Answer { status: head.status.as_u16(), content_type, headers: head.headers, body: collected.to_bytes() })
--- a/havengrade_router/src/kernel.rs
+++ b/havengrade_router/src/kernel.rs
@@ -7,7 +7,7 @@
 use snafu::{ResultExt as _, Snafu};
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
-use crate::{net::Network, platform, shared::Shared};
+use crate::{net::Network, platform, shared::SharedState};
 
 /// Why a router did not start.
 #[derive(Debug, Snafu)]
@@ -49,7 +49,7 @@
 #[derive(Clone)]
 pub struct Context {
     /// State shared with traffic.
-    pub shared: Arc<Shared>,
+    pub shared: Arc<SharedState>,
     /// The network.
     pub network: Arc<dyn Network>,
     /// The platform's log.
@@ -57,17 +57,17 @@
     /// The platform's VM list.
     pub vm_list: Arc<dyn platform::VmList>,
     /// The rating service, where there is one.
-    pub rating: Option<Arc<dyn platform::Rating>>,
+    pub rating: Option<Arc<dyn platform::RatingService>>,
     /// The HTTP client for endpoints.
     pub http: crate::http::HttpClient,
     /// Ends the tasks of traffic.
-    pub end: CancellationToken,
+    pub forced_shutdown: CancellationToken,
     /// Makes callers' connections end with the answer that they are at.
-    pub closing: CancellationToken,
+    pub graceful_shutdown: CancellationToken,
     /// Callers' connections.
-    pub connections: TaskTracker,
+    pub tracked_tasks: TaskTracker,
     /// Number of the router within the process, since the registry of actors is the process's.
-    pub number: u64,
+    pub router_number: u64,
 }
 
 impl Context {
@@ -78,9 +78,9 @@
 
     /// Starts a task of traffic, which ends at the latest when the router does.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
-        let end = self.end.clone();
+        let forced_shutdown = self.forced_shutdown.clone();
         tokio::spawn(async move {
-            end.run_until_cancelled(task).await;
+            forced_shutdown.run_until_cancelled(task).await;
         });
     }
 }
@@ -93,7 +93,7 @@
 
 impl ServiceContext for Context {
     fn actor_name(&self, service: &str) -> String {
-        format!("{}/{}/{service}", self.shared.vm(), self.number)
+        format!("{}/{}/{service}", self.shared.vm(), self.router_number)
     }
 }
 
@@ -140,7 +140,7 @@
 }
 
 /// Time that a service has to stop.
-const STOP_LIMIT: Duration = Duration::from_secs(2);
+const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Kernel {
     /// Starts services in order; on failure those that run are stopped again.
@@ -165,7 +165,7 @@
     /// Stops the services in reverse order.
     pub async fn stop(mut self) {
         while let Some((name, actor)) = self.running.pop() {
-            if let Err(error) = actor.stop_and_wait(None, Some(STOP_LIMIT)).await {
+            if let Err(error) = actor.stop_and_wait(None, Some(STOP_TIMEOUT)).await {
                 log::warn!(service = name; "service did not stop in time: {error}");
                 actor.kill();
             }
--- a/havengrade_router/src/launch.rs
+++ b/havengrade_router/src/launch.rs
@@ -11,23 +11,23 @@
 use crate::{
     cli::Options,
     logging, metrics,
-    settings::{Settings, SettingsFile, differences},
+    settings::{Settings, SettingsFile, changed_keys},
 };
 
 /// The router did not start.
-pub const NOT_STARTED: u8 = 1;
+pub const EXIT_NOT_STARTED: u8 = 1;
 /// The settings have faults.
-pub const FAULTY_SETTINGS: u8 = 3;
+pub const EXIT_FAULTY_SETTINGS: u8 = 3;
 /// The planned stop reached its limit.
-pub const STOPPED_LATE: u8 = 4;
+pub const EXIT_DRAIN_TIMEOUT: u8 = 4;
 /// A second signal cut the planned stop short.
-pub const STOPPED_AT_ONCE: u8 = 5;
+pub const EXIT_FORCED: u8 = 5;
 
 /// Time between two looks at whether the settings file has changed without a signal.
-const FILE_LOOK: Duration = Duration::from_secs(5);
+const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The settings that a program starts with, and the file that they came from.
-pub struct Start {
+pub struct LaunchSettings {
     /// The settings.
     pub settings: Settings,
     /// Their file.
@@ -35,16 +35,16 @@
 }
 
 /// Does what the options say; `serve` runs on this thread, with another runtime for traffic at its side.
-pub fn launch(options: &Options, serve: impl AsyncFnOnce(Start, &Handle) -> ExitCode) -> ExitCode {
+pub fn launch(options: &Options, serve: impl AsyncFnOnce(LaunchSettings, &Handle) -> ExitCode) -> ExitCode {
     if options.print_defaults {
-        print!("{}", Settings::print_defaults());
+        print!("{}", Settings::default_toml());
         return ExitCode::SUCCESS;
     }
     let (file, settings) = match SettingsFile::open(options.settings.as_deref().unwrap_or(Path::new(""))) {
         Ok(opened) => opened,
         Err(error) => {
             eprintln!("{error}");
-            return ExitCode::from(FAULTY_SETTINGS);
+            return ExitCode::from(EXIT_FAULTY_SETTINGS);
         },
     };
     if options.check {
@@ -53,11 +53,11 @@
     }
     logging::init(&settings.logging, &settings.vm.id);
     metrics::install();
-    run(Start { settings, file }, serve)
+    run(LaunchSettings { settings, file }, serve)
 }
 
 /// Runs traffic on threads of its own and everything else on this one.
-fn run(start: Start, serve: impl AsyncFnOnce(Start, &Handle) -> ExitCode) -> ExitCode {
+fn run(start: LaunchSettings, serve: impl AsyncFnOnce(LaunchSettings, &Handle) -> ExitCode) -> ExitCode {
     let mut traffic = Builder::new_multi_thread();
     traffic.enable_all().thread_name("traffic");
     if start.settings.vm.traffic_threads > 0 {
@@ -66,7 +66,7 @@
     let control = Builder::new_current_thread().enable_all().build();
     let (Ok(traffic), Ok(control)) = (traffic.build(), control) else {
         log::error!("the threads could not be started");
-        return ExitCode::from(NOT_STARTED);
+        return ExitCode::from(EXIT_NOT_STARTED);
     };
     let code = control.block_on(serve(start, traffic.handle()));
     // Traffic may still write to callers who are slow; it is not waited for.
@@ -99,29 +99,29 @@
     }
 
     /// The first signal begins a planned stop; the second ends it at once.
-    pub async fn stop(&mut self, begin: impl FnOnce()) -> ExitCode {
+    pub async fn wait_for_forced_stop(&mut self, begin: impl FnOnce()) -> ExitCode {
         self.next().await;
         begin();
         self.next().await;
-        ExitCode::from(STOPPED_AT_ONCE)
+        ExitCode::from(EXIT_FORCED)
     }
 }
 
 /// Exit code of a planned stop by whether everything ended in time.
-pub fn stopped(is_whole: bool) -> ExitCode {
-    if is_whole { ExitCode::SUCCESS } else { ExitCode::from(STOPPED_LATE) }
+pub fn drain_exit_code(is_complete: bool) -> ExitCode {
+    if is_complete { ExitCode::SUCCESS } else { ExitCode::from(EXIT_DRAIN_TIMEOUT) }
 }
 
 /// Reads the settings file again at each signal to reload, and now and then, since it may change without one.
 ///
 /// `take` is given settings without faults; faulty ones are logged, and what is in force stays.
-pub async fn follow_settings(start: &mut Start, mut hangup: Signal, take: impl Fn(&Settings)) -> Infallible {
+pub async fn watch_settings(start: &mut LaunchSettings, mut hangup: Signal, take: impl Fn(&Settings)) -> Infallible {
     loop {
         let is_signal = tokio::select! {
             _ = hangup.recv() => true,
-            () = sleep(FILE_LOOK) => false,
+            () = sleep(FILE_CHECK_INTERVAL) => false,
         };
-        match start.file.changed() {
+        match start.file.reload() {
             Ok(Some(settings)) => {
                 log_differences(&start.settings, &settings);
                 logging::set_level(&settings.logging);
@@ -136,7 +136,7 @@
 }
 
 fn log_differences(old: &Settings, new: &Settings) {
-    for (key, is_live) in differences(old, new) {
+    for (key, is_live) in changed_keys(old, new) {
         let effect = if is_live { "now" } else { "with the next start" };
         log::info!(key = key.as_str(); "setting changed, it takes effect {effect}");
     }
--- a/havengrade_router/src/logging.rs
+++ b/havengrade_router/src/logging.rs
@@ -32,7 +32,7 @@
     let writer = LineWriter { tx, dropped: dropped.clone() };
     let limit = settings.max_lines_per_s;
     let spawned = thread::Builder::new().name("log".into()).spawn(move || {
-        write_out(&rx, &dropped, limit, &Instant::now, &mut io::stdout());
+        write_lines(&rx, &dropped, limit, &Instant::now, &mut io::stdout());
     });
     if let Err(error) = spawned {
         eprintln!("no thread for logs: {error}");
@@ -109,7 +109,7 @@
 
 /// Writes lines out, at most so many a second by `clock`, until nobody hands any on; tells of those that were
 /// dropped.
-pub fn write_out(
+pub fn write_lines(
     rx: &Receiver<Vec<u8>>,
     dropped: &AtomicU64,
     max_lines_per_s: u64,
--- a/havengrade_router/src/main.rs
+++ b/havengrade_router/src/main.rs
@@ -6,9 +6,9 @@
 use havengrade_router::{
     cli::Options,
     clock::Clock,
-    launch::{NOT_STARTED, Start, StopSignals, follow_settings, launch, stopped},
-    net::TcpNetwork,
-    router::{Parts, Router},
+    launch::{EXIT_NOT_STARTED, LaunchSettings, StopSignals, drain_exit_code, launch, watch_settings},
+    net::SystemNetwork,
+    router::{Router, RouterEnvironment},
 };
 use rand::Rng as _;
 use tokio::{
@@ -20,13 +20,13 @@
     launch(&Options::parse(), serve)
 }
 
-async fn serve(mut start: Start, traffic: &Handle) -> ExitCode {
+async fn serve(mut start: LaunchSettings, traffic: &Handle) -> ExitCode {
     let (Ok(mut signals), Ok(hangup)) = (StopSignals::new(), signal(SignalKind::hangup())) else {
         log::error!("signals can't be received");
-        return ExitCode::from(NOT_STARTED);
+        return ExitCode::from(EXIT_NOT_STARTED);
     };
-    let parts = Parts {
-        network: Arc::new(TcpNetwork),
+    let parts = RouterEnvironment {
+        network: Arc::new(SystemNetwork),
         clock: Clock::starting_at(SystemTime::now()),
         seed: rand::rng().next_u64(),
     };
@@ -34,15 +34,15 @@
         Ok(router) => router,
         Err(error) => {
             log::error!("{error}");
-            return ExitCode::from(NOT_STARTED);
+            return ExitCode::from(EXIT_NOT_STARTED);
         },
     };
     let shared = router.context().shared.clone();
     let code = tokio::select! {
         biased;
-        code = signals.stop(|| { shared.start_drain(); }) => code,
-        never = follow_settings(&mut start, hangup, |settings| router.reload(settings)) => match never {},
-        is_whole = router.drained() => stopped(is_whole),
+        code = signals.wait_for_forced_stop(|| { shared.start_drain(); }) => code,
+        never = watch_settings(&mut start, hangup, |settings| router.reload(settings)) => match never {},
+        is_complete = router.wait_for_drain() => drain_exit_code(is_complete),
     };
     router.stop().await;
     code
--- a/havengrade_router/src/net.rs
+++ b/havengrade_router/src/net.rs
@@ -28,7 +28,7 @@
 
 /// A socket for datagrams, which may be lost on their way.
 #[async_trait]
-pub trait Datagrams: Send + Sync {
+pub trait DatagramSocket: Send + Sync {
     /// Sends one datagram.
     async fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()>;
 
@@ -46,17 +46,17 @@
     async fn bind(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>>;
 
     /// Opens a socket for datagrams.
-    async fn datagrams(&self, _at: SocketAddr) -> io::Result<Arc<dyn Datagrams>> {
+    async fn bind_datagrams(&self, _at: SocketAddr) -> io::Result<Arc<dyn DatagramSocket>> {
         Err(io::Error::new(io::ErrorKind::Unsupported, "this network carries no datagrams"))
     }
 }
 
 /// The machine's TCP.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TcpNetwork;
+pub struct SystemNetwork;
 
 #[async_trait]
-impl Network for TcpNetwork {
+impl Network for SystemNetwork {
     async fn connect(&self, to: SocketAddr) -> io::Result<BoxConnection> {
         let stream = TcpStream::connect(to).await?;
         stream.set_nodelay(true)?;
@@ -67,13 +67,13 @@
         Ok(Box::new(TcpListener::bind(at).await?))
     }
 
-    async fn datagrams(&self, at: SocketAddr) -> io::Result<Arc<dyn Datagrams>> {
+    async fn bind_datagrams(&self, at: SocketAddr) -> io::Result<Arc<dyn DatagramSocket>> {
         Ok(Arc::new(UdpSocket::bind(at).await?))
     }
 }
 
 #[async_trait]
-impl Datagrams for UdpSocket {
+impl DatagramSocket for UdpSocket {
     async fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         self.send_to(bytes, to).await.map(drop)
     }
--- a/havengrade_router/src/platform/log_service.rs
+++ b/havengrade_router/src/platform/log_service.rs
@@ -10,11 +10,11 @@
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt as _, Snafu};
 
-use crate::http::{Answer, HttpClient, HttpError, Reuse, get, post};
+use crate::http::{Answer, ConnectionReuse, HttpClient, HttpError, get, post};
 
 /// The streams of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Stream {
+pub enum LogStream {
     /// Changes to the configuration.
     Config,
     /// Claims, refusals and outcomes with their bills.
@@ -23,7 +23,7 @@
     Bills,
 }
 
-impl fmt::Display for Stream {
+impl fmt::Display for LogStream {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Config => "config",
@@ -75,10 +75,10 @@
 #[async_trait]
 pub trait LogService: Send + Sync {
     /// Appends a record and returns its offset.
-    async fn append(&self, stream: Stream, data: String) -> Result<Offset, LogError>;
+    async fn append(&self, stream: LogStream, data: String) -> Result<Offset, LogError>;
 
     /// Reads up to `max` records from an offset on; waits up to `wait` if there are none yet.
-    async fn read(&self, stream: Stream, from: Offset, max: usize, wait: Duration) -> Result<LogSlice, LogError>;
+    async fn read(&self, stream: LogStream, from: Offset, max: usize, wait: Duration) -> Result<LogSlice, LogError>;
 }
 
 /// The log service over HTTP.
@@ -103,22 +103,22 @@
     }
 
     async fn call(&self, request: Request<Full<Bytes>>, timeout: Duration) -> Result<Bytes, LogError> {
-        let result = self.client.call(self.address, request, Reuse::Allowed, timeout, MAX_ANSWER_BYTES).await;
+        let result = self.client.call(self.address, request, ConnectionReuse::Allowed, timeout, MAX_ANSWER_BYTES).await;
         let answer: Answer = result.context(CallSnafu)?;
-        answer.expect_ok(self.address).context(CallSnafu)
+        answer.into_ok_body(self.address).context(CallSnafu)
     }
 }
 
 #[async_trait]
 impl LogService for HttpLogService {
-    async fn append(&self, stream: Stream, data: String) -> Result<Offset, LogError> {
+    async fn append(&self, stream: LogStream, data: String) -> Result<Offset, LogError> {
         let uri = format!("http://{}/streams/{stream}", self.address);
         let body = self.call(post(&uri, data), self.timeout).await?;
         let appended: Appended = serde_json::from_slice(&body).context(AnswerSnafu)?;
         Ok(appended.offset)
     }
 
-    async fn read(&self, stream: Stream, from: Offset, max: usize, wait: Duration) -> Result<LogSlice, LogError> {
+    async fn read(&self, stream: LogStream, from: Offset, max: usize, wait: Duration) -> Result<LogSlice, LogError> {
         let wait_ms = wait.as_millis();
         let uri = format!("http://{}/streams/{stream}?from={from}&max={max}&wait_ms={wait_ms}", self.address);
         let body = self.call(get(&uri), self.timeout + wait).await?;
--- a/havengrade_router/src/platform/mod.rs
+++ b/havengrade_router/src/platform/mod.rs
@@ -5,7 +5,7 @@
 mod vm_list;
 
 pub use self::{
-    log_service::{HttpLogService, LogError, LogRecord, LogService, LogSlice, Stream},
-    rating::{HttpRating, Rating, RatingRequest},
+    log_service::{HttpLogService, LogError, LogRecord, LogService, LogSlice, LogStream},
+    rating::{HttpRatingService, RatingRequest, RatingService},
     vm_list::{HttpVmList, ListedEndpoint, VmList, VmListing},
 };
--- a/havengrade_router/src/platform/rating.rs
+++ b/havengrade_router/src/platform/rating.rs
@@ -6,7 +6,7 @@
 use havengrade_core::ids::{ClassId, Permille, VersionId};
 use serde::{Deserialize, Serialize};
 
-use crate::http::{HttpClient, HttpError, Reuse, post};
+use crate::http::{ConnectionReuse, HttpClient, HttpError, post};
 
 /// A request to rate an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,13 +23,13 @@
 
 /// The rating service.
 #[async_trait]
-pub trait Rating: Send + Sync {
+pub trait RatingService: Send + Sync {
     /// Rates an answer; returns its score in thousandths.
     async fn rate(&self, request: &RatingRequest) -> Result<Permille, HttpError>;
 }
 
 /// The rating service over HTTP.
-pub struct HttpRating {
+pub struct HttpRatingService {
     client: HttpClient,
     address: SocketAddr,
     timeout: Duration,
@@ -43,7 +43,7 @@
 /// Largest answer of the rating service, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-impl HttpRating {
+impl HttpRatingService {
     /// A client of the rating service at an address; a call fails after `timeout`.
     pub fn new(client: HttpClient, address: SocketAddr, timeout: Duration) -> Self {
         Self { client, address, timeout }
@@ -51,14 +51,15 @@
 }
 
 #[async_trait]
-impl Rating for HttpRating {
+impl RatingService for HttpRatingService {
     async fn rate(&self, request: &RatingRequest) -> Result<Permille, HttpError> {
         let json = serde_json::to_string(request).unwrap_or_default();
         let call = post(&format!("http://{}/ratings", self.address), json);
-        let answer = self.client.call(self.address, call, Reuse::Allowed, self.timeout, MAX_ANSWER_BYTES).await?;
-        let body = answer.expect_ok(self.address)?;
+        let answer =
+            self.client.call(self.address, call, ConnectionReuse::Allowed, self.timeout, MAX_ANSWER_BYTES).await?;
+        let body = answer.into_ok_body(self.address)?;
         let rated: Rated = serde_json::from_slice(&body)
-            .map_err(|error| HttpError::BrokenOff { address: self.address, reason: error.to_string() })?;
+            .map_err(|error| HttpError::InvalidBody { address: self.address, reason: error.to_string() })?;
         Ok(rated.score)
     }
 }
--- a/havengrade_router/src/platform/vm_list.rs
+++ b/havengrade_router/src/platform/vm_list.rs
@@ -6,7 +6,7 @@
 use havengrade_core::{ids::EndpointId, membership::ListedVm};
 use serde::{Deserialize, Serialize};
 
-use crate::http::{HttpClient, HttpError, Reuse, get};
+use crate::http::{ConnectionReuse, HttpClient, HttpError, get};
 
 /// An endpoint's VM as the platform's list shows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -55,9 +55,10 @@
 impl VmList for HttpVmList {
     async fn read(&self) -> Result<VmListing, HttpError> {
         let request = get(&format!("http://{}/vms", self.address));
-        let answer = self.client.call(self.address, request, Reuse::Allowed, self.timeout, MAX_LIST_BYTES).await?;
-        let body = answer.expect_ok(self.address)?;
+        let answer =
+            self.client.call(self.address, request, ConnectionReuse::Allowed, self.timeout, MAX_LIST_BYTES).await?;
+        let body = answer.into_ok_body(self.address)?;
         serde_json::from_slice(&body)
-            .map_err(|error| HttpError::BrokenOff { address: self.address, reason: error.to_string() })
+            .map_err(|error| HttpError::InvalidBody { address: self.address, reason: error.to_string() })
     }
 }
--- a/havengrade_router/src/published/attempt.rs
+++ b/havengrade_router/src/published/attempt.rs
@@ -7,7 +7,7 @@
 use tokio::time::timeout;
 
 use crate::{
-    endpoints::InFlight,
+    endpoints::InFlightGuard,
     published::{
         active_request::ActiveRequest,
         connection_pool::{ConnectionError, EndpointConnection},
@@ -56,7 +56,7 @@
     /// Body of the answer.
     pub(super) body: Incoming,
     /// Counts the request as in flight at the endpoint.
-    pub(super) in_flight: InFlight,
+    pub(super) in_flight: InFlightGuard,
     /// Confidence of the model in its answer, from 0 to 100.
     pub(super) confidence: Option<u8>,
 }
@@ -73,7 +73,7 @@
     resume_after: Option<&str>,
 ) -> Result<AnsweredAttempt, RunState> {
     let endpoint = &chosen.endpoint;
-    let in_flight = cx.shared.endpoint_states.enter_with(&endpoint.id, chosen.prompt_tokens);
+    let in_flight = cx.shared.endpoint_states.begin_request_with_prompt(&endpoint.id, chosen.prompt_tokens);
     let begun = cx.shared.clock.now();
     let max_idle = if request.attempts.is_repeatable() { MAX_IDLE_IF_REPEATABLE } else { MAX_IDLE_IF_NOT_REPEATABLE };
     let (mut connection, response, mut attempt) = match exchange(cx, request, &chosen, resume_after, max_idle).await {
@@ -143,7 +143,7 @@
         } else if has_free_slots(cx, endpoint, answer_head)
             && let Some(slot) = cx.shared.endpoint_states.slot(&endpoint.id)
         {
-            slot.reject(cx.shared.clock.now());
+            slot.record_rejection(cx.shared.clock.now());
         }
         return Err(RunState::NotRun);
     }
@@ -200,7 +200,7 @@
 /// Records a failure of an endpoint, which is ejected after `threshold` failures in a row.
 fn record_failure_with_threshold(cx: &PublishedContext, endpoint: &ListedEndpoint, threshold: u32) {
     if let Some(slot) = cx.shared.endpoint_states.slot(&endpoint.id) {
-        slot.fail(threshold, EJECTION_TIME, cx.shared.clock.now());
+        slot.record_failure(threshold, EJECTION_TIME, cx.shared.clock.now());
     }
 }
 
--- a/havengrade_router/src/published/config_ports.rs
+++ b/havengrade_router/src/published/config_ports.rs
@@ -35,7 +35,7 @@
             ReplacedVersion, RequestAttributes, RolloutStore, Roster, StoreError, WriteOutcome,
         },
     },
-    shared::Shared,
+    shared::SharedState,
 };
 
 /// Interval between two checks whether the configuration has changed.
@@ -60,7 +60,7 @@
 /// Endpoints neither echo the id nor sign their answers; if an endpoint echoes an id, it must be that of the request.
 struct ConfigDialect {
     own: OwnDialect,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
 }
 
 impl Dialect for ConfigDialect {
@@ -86,13 +86,13 @@
 
 /// Feed of one part of the active configuration, with one event for each change of the configuration.
 struct ConfigFeed<T> {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     position: Option<u64>,
-    part: fn(&Config, &Shared) -> T,
+    part: fn(&Config, &SharedState) -> T,
 }
 
 impl<T> ConfigFeed<T> {
-    fn new(shared: Arc<Shared>, part: fn(&Config, &Shared) -> T) -> Self {
+    fn new(shared: Arc<SharedState>, part: fn(&Config, &SharedState) -> T) -> Self {
         Self { shared, position: None, part }
     }
 }
@@ -127,20 +127,20 @@
     }
 
     fn confirmed_at(&self, asked: SystemTime) -> Option<SystemTime> {
-        Some(self.shared.confirmed().min(asked))
+        Some(self.shared.config_confirmed_at().min(asked))
     }
 }
 
-fn publication_event(cfg: &Config, shared: &Shared) -> OperatorEvent {
+fn publication_event(cfg: &Config, shared: &SharedState) -> OperatorEvent {
     OperatorEvent::Publication(publication(cfg, caller_limits(shared)))
 }
 
-fn endpoints_event(cfg: &Config, _shared: &Shared) -> DirectoryEvent {
+fn endpoints_event(cfg: &Config, _shared: &SharedState) -> DirectoryEvent {
     DirectoryEvent::All(endpoints(cfg))
 }
 
 /// Returns the limits on callers' requests from the settings.
-fn caller_limits(shared: &Shared) -> CallerLimits {
+fn caller_limits(shared: &SharedState) -> CallerLimits {
     let limits = &shared.settings.limits;
     CallerLimits {
         header_bytes: limits.max_header_bytes,
--- a/havengrade_router/src/published/endpoint_choice.rs
+++ b/havengrade_router/src/published/endpoint_choice.rs
@@ -190,7 +190,7 @@
 /// Work in progress at an endpoint: that of this VM and that reported by other VMs.
 pub(super) fn known_work(cx: &PublishedContext, endpoint: &ListedEndpoint) -> Work {
     let own = cx.shared.endpoint_states.slot(&endpoint.id);
-    let (requests, tokens) = own.map_or((0, 0), |slot| (slot.in_flight(), slot.unread()));
+    let (requests, tokens) = own.map_or((0, 0), |slot| (slot.in_flight(), slot.pending_prompt_tokens()));
     let others = cx.shared.peers().work(&endpoint.id);
     Work { requests: requests + others.requests, tokens: tokens.saturating_add(others.tokens) }
 }
--- a/havengrade_router/src/published/event_stream.rs
+++ b/havengrade_router/src/published/event_stream.rs
@@ -16,7 +16,7 @@
 };
 
 use crate::{
-    endpoints::InFlight,
+    endpoints::InFlightGuard,
     published::{
         active_request::ActiveRequest,
         attempt::{AnsweredAttempt, Attempt, log_failed_attempt, record_failure, send_attempt},
@@ -78,7 +78,7 @@
     connection: EndpointConnection,
     body: Incoming,
     buf: BytesMut,
-    in_flight: InFlight,
+    in_flight: InFlightGuard,
     event_timer: EventTimer,
 }
 
@@ -110,7 +110,7 @@
     async fn read(&mut self) -> Result<Option<EventChunk>, StreamFault> {
         loop {
             if let Some(chunk) = split_complete_events(&mut self.buf) {
-                self.in_flight.note_read();
+                self.in_flight.record_prompt_read();
                 return Ok(Some(chunk));
             }
             match self.body.frame().await {
--- a/havengrade_router/src/published/feed_consumers.rs
+++ b/havengrade_router/src/published/feed_consumers.rs
@@ -214,11 +214,11 @@
         let now = cx.shared.clock.now();
         cx.shared.send_limits().cold.set(self.directory.cold(now));
         let used = || self.directory.all().filter(|endpoint| self.subset.includes(endpoint));
-        cx.shared.endpoint_states.configure(used().map(|endpoint| &endpoint.id));
+        cx.shared.endpoint_states.update_endpoints(used().map(|endpoint| &endpoint.id));
         let mut usable: EndpointsByService = HashMap::new();
         for endpoint in used().filter(|endpoint| !endpoint.is_leaving) {
             if let Some(slot) = cx.shared.endpoint_states.slot(&endpoint.id) {
-                slot.hear(now);
+                slot.record_activity(now);
             }
             usable.entry(endpoint.service.clone()).or_default().push(endpoint.clone());
         }
--- a/havengrade_router/src/published/outcomes.rs
+++ b/havengrade_router/src/published/outcomes.rs
@@ -92,7 +92,7 @@
 /// Records that an endpoint answered without failure.
 pub(super) fn record_success(cx: &PublishedContext, endpoint: &ListedEndpoint) {
     if let Some(slot) = cx.shared.endpoint_states.slot(&endpoint.id) {
-        slot.succeed(cx.shared.clock.now());
+        slot.record_success(cx.shared.clock.now());
     }
 }
 
--- a/havengrade_router/src/published/peers.rs
+++ b/havengrade_router/src/published/peers.rs
@@ -22,7 +22,7 @@
 
 use crate::{
     kernel::{BindSnafu, Service, ServiceContext as _, StartError, spawn},
-    net::Datagrams,
+    net::DatagramSocket,
     published::{
         context::PublishedContext,
         quarantine::announce_changes,
@@ -64,7 +64,7 @@
 
     async fn start(&self, cx: &PublishedContext) -> Result<ActorCell, StartError> {
         let address = cx.shared.settings.listen.peers;
-        let socket = cx.network.datagrams(address).await.context(BindSnafu { key: "listen.peers", address })?;
+        let socket = cx.network.bind_datagrams(address).await.context(BindSnafu { key: "listen.peers", address })?;
         spawn(NAME, cx, PeersActor, Arguments { cx: cx.clone(), socket }).await
     }
 }
@@ -89,12 +89,12 @@
 
 struct Arguments {
     cx: PublishedContext,
-    socket: Arc<dyn Datagrams>,
+    socket: Arc<dyn DatagramSocket>,
 }
 
 struct PeersState {
     cx: PublishedContext,
-    socket: Arc<dyn Datagrams>,
+    socket: Arc<dyn DatagramSocket>,
     queries: Arc<Mutex<StoreQueries>>,
     seq: u64,
     /// Position in the operators' records that was last announced to the other VMs.
@@ -237,7 +237,7 @@
     greeted.map(|peer| greeting(&peer)).collect()
 }
 
-async fn send(socket: &dyn Datagrams, datagram: &Datagram, to: &[SocketAddr]) {
+async fn send(socket: &dyn DatagramSocket, datagram: &Datagram, to: &[SocketAddr]) {
     let bytes = match havengrade_rpc::encode(datagram) {
         Ok(bytes) => bytes,
         Err(error) => return log::error!("datagram not encoded: {error}"),
@@ -255,7 +255,7 @@
     cx.shared.endpoint_states.for_each(|endpoint, slot| {
         let requests = slot.in_flight();
         if requests > 0 {
-            work.push((endpoint.clone(), Work { requests, tokens: slot.unread() }));
+            work.push((endpoint.clone(), Work { requests, tokens: slot.pending_prompt_tokens() }));
         }
     });
     work.sort_by(|a, b| b.1.tokens.cmp(&a.1.tokens).then_with(|| a.0.cmp(&b.0)));
@@ -272,7 +272,7 @@
 }
 
 /// Receives and handles datagrams of other VMs.
-async fn receive(cx: PublishedContext, socket: Arc<dyn Datagrams>, queries: Arc<Mutex<StoreQueries>>) {
+async fn receive(cx: PublishedContext, socket: Arc<dyn DatagramSocket>, queries: Arc<Mutex<StoreQueries>>) {
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let length = match socket.receive(&mut buf).await {
@@ -294,7 +294,7 @@
     }
 }
 
-async fn handle_query(cx: &PublishedContext, socket: &dyn Datagrams, query: &StoreQuestion, now: SystemTime) {
+async fn handle_query(cx: &PublishedContext, socket: &dyn DatagramSocket, query: &StoreQuestion, now: SystemTime) {
     let Ok(to) = query.address.parse::<SocketAddr>() else {
         return log::warn!("ignoring a store query without a valid address");
     };
--- a/havengrade_router/src/published/quarantine.rs
+++ b/havengrade_router/src/published/quarantine.rs
@@ -155,7 +155,8 @@
     let fingerprints = fingerprints(request, &endpoint.version);
     cx.shared.quarantine().record_broken_attempt(fingerprints, &endpoint.id, ran_for, now);
     evaluate_suspects(cx, now);
-    let is_due = cx.shared.endpoint_states.slot(&endpoint.id).is_some_and(|slot| slot.begin_look(PROBE_INTERVAL, now));
+    let is_due =
+        cx.shared.endpoint_states.slot(&endpoint.id).is_some_and(|slot| slot.try_begin_probe(PROBE_INTERVAL, now));
     if !is_due {
         return;
     }
--- a/havengrade_router/src/published/router.rs
+++ b/havengrade_router/src/published/router.rs
@@ -35,7 +35,7 @@
         shutdown::{BALANCER_NOTICE_TIME, shutdown_time_limit},
         state_server::serve_state,
     },
-    router::Parts,
+    router::RouterEnvironment,
     settings::Settings,
 };
 
@@ -60,7 +60,12 @@
     /// # Errors
     ///
     /// [`StartError`] if a port can't be opened or a service does not start.
-    pub async fn start(settings: Settings, parts: Parts, ports: Ports, traffic: &Handle) -> Result<Self, StartError> {
+    pub async fn start(
+        settings: Settings,
+        parts: RouterEnvironment,
+        ports: Ports,
+        traffic: &Handle,
+    ) -> Result<Self, StartError> {
         let Ports { dialect, operators, endpoints, statuses, quarantine, roster, uses_state_transfer } = ports;
         let shared = PublishedState::new(settings, parts.clock, dialect, parts.network.clone(), parts.seed);
         let cx = PublishedContext {
@@ -115,7 +120,7 @@
     /// Waits until a planned stop is complete, or its deadline has passed.
     ///
     /// Returns whether all requests in progress ended before the deadline.
-    pub async fn drained(&self) -> bool {
+    pub async fn wait_for_drain(&self) -> bool {
         let since = loop {
             match self.cx.shared.drain_since() {
                 Some(since) => break since,
--- a/havengrade_router/src/router.rs
+++ b/havengrade_router/src/router.rs
@@ -25,7 +25,7 @@
     http::HttpClient,
     kernel::{BindSnafu, Context, Kernel, Service, StartError, service},
     net::Network,
-    platform::{HttpLogService, HttpRating, HttpVmList, LogService, Rating, VmList},
+    platform::{HttpLogService, HttpRatingService, HttpVmList, LogService, RatingService, VmList},
     published::{config_ports, router::PublishedRouter},
     services::{
         bills::{self, BillsActor, BillsMessage},
@@ -38,21 +38,21 @@
         peers::PeersService,
     },
     settings::Settings,
-    shared::Shared,
+    shared::SharedState,
     traffic,
 };
 
 /// Time between two looks at whether a planned stop is over.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time that callers have to read the answers that they were given.
-const CLOSE_LIMIT: Duration = Duration::from_secs(5);
+const CONNECTION_CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Routers that were started in this process.
-static ROUTERS: AtomicU64 = AtomicU64::new(0);
+static ROUTER_COUNT: AtomicU64 = AtomicU64::new(0);
 
 /// What a router is built of besides its settings.
-pub struct Parts {
+pub struct RouterEnvironment {
     /// The network.
     pub network: Arc<dyn Network>,
     /// The clock.
@@ -76,9 +76,13 @@
     /// # Errors
     ///
     /// [`StartError`] where a port can't be opened or a service does not start.
-    pub async fn start(settings: Settings, parts: Parts, traffic: &Handle) -> Result<Self, StartError> {
-        let published_parts = Parts { network: parts.network.clone(), ..parts };
-        let cx = context(settings, parts);
+    pub async fn start(
+        settings: Settings,
+        environment: RouterEnvironment,
+        traffic: &Handle,
+    ) -> Result<Self, StartError> {
+        let published_environment = RouterEnvironment { network: environment.network.clone(), ..environment };
+        let cx = context(settings, environment);
         let address = cx.shared.settings.listen.callers;
         let callers = cx.network.bind(address).await.context(BindSnafu { key: "listen.callers", address })?;
         let kernel = Kernel::start(services(), &cx).await?;
@@ -86,7 +90,7 @@
         let published = match cx.shared.settings.published.callers {
             Some(_) => {
                 let settings = Settings::clone(&cx.shared.settings);
-                Some(PublishedRouter::start(settings, published_parts, config_ports::ports(&cx), traffic).await?)
+                Some(PublishedRouter::start(settings, published_environment, config_ports::ports(&cx), traffic).await?)
             },
             None => None,
         };
@@ -109,17 +113,18 @@
     /// Waits until a planned stop, begun by a signal or an operator, has let everything end.
     ///
     /// Tells whether all requests in progress ended before the limit.
-    pub async fn drained(&self) -> bool {
+    pub async fn wait_for_drain(&self) -> bool {
         match &self.published {
             Some(published) => {
-                let (is_whole, is_published_whole) = tokio::join!(self.own_drained(), published.drained());
-                is_whole && is_published_whole
+                let (is_complete, is_published_complete) =
+                    tokio::join!(self.wait_for_own_drain(), published.wait_for_drain());
+                is_complete && is_published_complete
             },
-            None => self.own_drained().await,
+            None => self.wait_for_own_drain().await,
         }
     }
 
-    async fn own_drained(&self) -> bool {
+    async fn wait_for_own_drain(&self) -> bool {
         let limit = Duration::from_secs(self.cx.shared.settings.drain.limit_s);
         let mut state = DrainState::Serving;
         loop {
@@ -131,8 +136,8 @@
                     published.context().shared.start_drain(now);
                 }
             }
-            match state.step(self.unfinished().await, limit, now) {
-                DrainStep::Serve | DrainStep::Wait => sleep(DRAIN_LOOK).await,
+            match state.step(self.unfinished_count().await, limit, now) {
+                DrainStep::Serve | DrainStep::Wait => sleep(DRAIN_POLL_INTERVAL).await,
                 DrainStep::Stop => return true,
                 DrainStep::StopAtDeadline => return false,
             }
@@ -140,7 +145,7 @@
     }
 
     /// Requests in progress, and one more while something is still to be written to the log.
-    async fn unfinished(&self) -> usize {
+    async fn unfinished_count(&self) -> usize {
         let in_progress = self.cx.shared.requests.in_progress();
         let (Some(ledger), Some(bills)) = (self.cx.find(ledger::NAME), self.cx.find(bills::NAME)) else {
             return in_progress;
@@ -149,30 +154,30 @@
         let bills: ActorRef<BillsMessage> = bills;
         let ledger = ledger.call(LedgerMessage::IsEmpty, None).await;
         let bills = bills.call(BillsMessage::IsEmpty, None).await;
-        let is_left =
+        let has_unwritten =
             matches!(ledger, Ok(CallResult::Success(false))) || matches!(bills, Ok(CallResult::Success(false)));
-        in_progress + usize::from(is_left)
+        in_progress + usize::from(has_unwritten)
     }
 
     /// Stops the router in order; callers' connections end with the answer that they are at.
     pub async fn stop(self) {
         drop(self.server);
-        self.cx.closing.cancel();
-        self.cx.connections.close();
-        if timeout(CLOSE_LIMIT, self.cx.connections.wait()).await.is_err() {
+        self.cx.graceful_shutdown.cancel();
+        self.cx.tracked_tasks.close();
+        if timeout(CONNECTION_CLOSE_TIMEOUT, self.cx.tracked_tasks.wait()).await.is_err() {
             log::warn!(vm = self.cx.shared.vm().as_str(); "callers read too slowly, their connections are cut");
         }
         if let Some(published) = self.published {
             published.stop().await;
         }
-        self.cx.end.cancel();
+        self.cx.forced_shutdown.cancel();
         self.kernel.stop().await;
         log::info!(vm = self.cx.shared.vm().as_str(); "router stopped");
     }
 
     /// Ends the router at once, as a crash would.
     pub fn kill(mut self) {
-        self.cx.end.cancel();
+        self.cx.forced_shutdown.cancel();
         self.kernel.kill();
         if let Some(published) = self.published {
             published.kill();
@@ -193,29 +198,29 @@
     ]
 }
 
-fn context(settings: Settings, parts: Parts) -> Context {
+fn context(settings: Settings, environment: RouterEnvironment) -> Context {
     let connect_timeout = Duration::from_millis(settings.endpoints.connect_timeout_ms);
-    let http = HttpClient::new(parts.network.clone(), connect_timeout);
+    let http = HttpClient::new(environment.network.clone(), connect_timeout);
     let log_limit = Duration::from_millis(settings.log_service.timeout_ms);
     let log: Arc<dyn LogService> = Arc::new(HttpLogService::new(http.clone(), settings.log_service.address, log_limit));
     let vm_list: Arc<dyn VmList> = Arc::new(HttpVmList::new(http.clone(), settings.vm_list.address, log_limit));
     let rating_limit = Duration::from_millis(settings.rating.timeout_ms);
-    let rating: Option<Arc<dyn Rating>> = settings.rating.enabled.then(|| {
-        let rating = HttpRating::new(http.clone(), settings.rating.address, rating_limit);
-        Arc::new(rating) as Arc<dyn Rating>
+    let rating: Option<Arc<dyn RatingService>> = settings.rating.enabled.then(|| {
+        let rating = HttpRatingService::new(http.clone(), settings.rating.address, rating_limit);
+        Arc::new(rating) as Arc<dyn RatingService>
     });
-    let shared = Arc::new(Shared::new(Arc::new(settings), parts.clock, parts.seed));
-    let number = ROUTERS.fetch_add(1, Ordering::Relaxed);
+    let shared = Arc::new(SharedState::new(Arc::new(settings), environment.clock, environment.seed));
+    let router_number = ROUTER_COUNT.fetch_add(1, Ordering::Relaxed);
     Context {
         shared,
-        network: parts.network,
+        network: environment.network,
         log,
         vm_list,
         rating,
         http,
-        end: CancellationToken::new(),
-        closing: CancellationToken::new(),
-        connections: TaskTracker::new(),
-        number,
+        forced_shutdown: CancellationToken::new(),
+        graceful_shutdown: CancellationToken::new(),
+        tracked_tasks: TaskTracker::new(),
+        router_number,
     }
 }
--- a/havengrade_router/src/services/bills.rs
+++ b/havengrade_router/src/services/bills.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     kernel::Context,
-    platform::Stream,
+    platform::LogStream,
     services::{
         outbox::{Outbox, OutboxMessage, SubmitOutcome},
         peers::OutboxOwner,
@@ -77,7 +77,7 @@
 
     async fn pre_start(&self, myself: ActorRef<Self::Msg>, cx: Context) -> Result<BillsState, ActorProcessingErr> {
         let ticker = super::send_periodically(myself, TICK_INTERVAL, || BillsMessage::Tick);
-        Ok(BillsState { outbox: Outbox::new(cx, Stream::Bills), _ticker: ticker })
+        Ok(BillsState { outbox: Outbox::new(cx, LogStream::Bills), _ticker: ticker })
     }
 
     async fn handle(
--- a/havengrade_router/src/services/config.rs
+++ b/havengrade_router/src/services/config.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     kernel::Context,
-    platform::{LogRecord, LogSlice, Stream},
+    platform::{LogRecord, LogSlice, LogStream},
 };
 
 /// Name of the service.
@@ -136,7 +136,7 @@
     loop {
         let requested_at = cx.shared.clock.now();
         let from = cx.shared.config_next();
-        match cx.log.read(Stream::Config, from, MAX_READ_RECORDS, wait).await {
+        match cx.log.read(LogStream::Config, from, MAX_READ_RECORDS, wait).await {
             Ok(slice) => {
                 cx.shared.set_log_reachable(true);
                 let replayed = service.call(|reply| ConfigMessage::Replay { slice, requested_at, reply }, None).await;
@@ -158,7 +158,7 @@
         self.replay_records(&slice.records, slice.first);
         let log_end = slice.next;
         if self.config.next_offset >= log_end {
-            self.cx.shared.confirm(requested_at);
+            self.cx.shared.confirm_config(requested_at);
         }
     }
 
@@ -247,7 +247,7 @@
         let known = self.cx.shared.catalog.load();
         let catalog = known.with_config(self.config.clone());
         if !known.shares_endpoints_with(&self.config) {
-            self.cx.shared.endpoints.configure(catalog.config.endpoints.keys());
+            self.cx.shared.endpoints.update_endpoints(catalog.config.endpoints.keys());
         }
         self.cx.shared.catalog.store(Arc::new(catalog));
     }
@@ -272,7 +272,7 @@
         let log = self.cx.log.clone();
         let task = tokio::spawn(async move {
             for _ in 0..MAX_ATTEMPTS {
-                if log.append(Stream::Config, data.clone()).await.is_ok() {
+                if log.append(LogStream::Config, data.clone()).await.is_ok() {
                     return;
                 }
                 sleep(LOG_RETRY_DELAY).await;
--- a/havengrade_router/src/services/endpoints.rs
+++ b/havengrade_router/src/services/endpoints.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     endpoints::{EndpointReport, EndpointSlot},
-    http::{Reuse, get},
+    http::{ConnectionReuse, get},
     kernel::Context,
     platform::ListedEndpoint,
 };
@@ -116,7 +116,7 @@
             EndpointsMessage::Tick => state.tick(&myself),
             EndpointsMessage::OwnReport { endpoint, own, report } => {
                 state.apply_report(&endpoint, report, Some(own));
-                state.cx.shared.note_report(endpoint, report);
+                state.cx.shared.record_endpoint_report(endpoint, report);
             },
             EndpointsMessage::RelayedReports(reports) => {
                 reports.into_iter().for_each(|(endpoint, report)| state.apply_report(&endpoint, report, None));
@@ -139,7 +139,7 @@
         for (id, monitored) in &mut self.monitored {
             let time_since_answer = monitored.time_since_answer(now);
             if time_since_answer > silence_timeout {
-                monitored.slot.fall_silent();
+                monitored.slot.mark_unresponsive();
             }
             // All VMs poll an endpoint without a recent report, since the VM responsible for it may be gone.
             let is_responsible = monitored.assignment_hash % live.len().max(1) as u64 == own_index;
@@ -170,10 +170,10 @@
         let has_timed_out =
             |last_polled: SystemTime| now.duration_since(last_polled).unwrap_or_default() >= FIRST_ANSWER_TIMEOUT;
         let is_known = |monitored: &MonitoredEndpoint| {
-            monitored.slot.heard().is_some() || monitored.last_polled.is_some_and(has_timed_out)
+            monitored.slot.last_activity().is_some() || monitored.last_polled.is_some_and(has_timed_out)
         };
         if self.cx.shared.is_caught_up() && self.monitored.values().all(is_known) {
-            self.cx.shared.set_endpoints_known();
+            self.cx.shared.set_endpoints_probed();
         }
     }
 
@@ -187,7 +187,7 @@
         let now = self.cx.shared.clock.now();
         for endpoint in catalog.config.endpoints.values().filter(|endpoint| endpoint.kind == EndpointKind::Scripts) {
             if let Some(slot) = self.cx.shared.endpoints.slot(&endpoint.id) {
-                slot.hear(now);
+                slot.record_activity(now);
             }
         }
         for endpoint in catalog.config.endpoints.values().filter(|endpoint| endpoint.kind != EndpointKind::Scripts) {
@@ -203,13 +203,13 @@
         let is_listed_shutting_down = self.listed_shutting_down.contains(endpoint);
         let Some(monitored) = self.monitored.get_mut(endpoint) else { return };
         match report {
-            EndpointReport::Gone => monitored.slot.fall_silent(),
-            EndpointReport::Load { load, leaving } => {
+            EndpointReport::ConnectionRefused => monitored.slot.mark_unresponsive(),
+            EndpointReport::Load { load, shutting_down } => {
                 // A relayed report may be old, so only a direct report can reset the flag.
-                monitored.reports_shutdown = leaving || (own.is_none() && monitored.reports_shutdown);
-                monitored.slot.report(load, own.unwrap_or_else(|| monitored.slot.in_flight()));
-                monitored.slot.hear(self.cx.shared.clock.now());
-                monitored.slot.set_leaving(monitored.reports_shutdown || is_listed_shutting_down);
+                monitored.reports_shutdown = shutting_down || (own.is_none() && monitored.reports_shutdown);
+                monitored.slot.record_load(load, own.unwrap_or_else(|| monitored.slot.in_flight()));
+                monitored.slot.record_activity(self.cx.shared.clock.now());
+                monitored.slot.set_shutting_down(monitored.reports_shutdown || is_listed_shutting_down);
             },
         }
     }
@@ -217,7 +217,7 @@
     fn apply_platform_list(&mut self, listed: &[ListedEndpoint]) {
         self.listed_shutting_down = listed.iter().filter(|vm| vm.leaving).map(|vm| vm.id.clone()).collect();
         for (id, monitored) in &self.monitored {
-            monitored.slot.set_leaving(monitored.reports_shutdown || self.listed_shutting_down.contains(id));
+            monitored.slot.set_shutting_down(monitored.reports_shutdown || self.listed_shutting_down.contains(id));
         }
     }
 }
@@ -237,12 +237,12 @@
 
     /// Returns whether only a direct report can tell the state of the endpoint.
     fn needs_direct_report(&self) -> bool {
-        self.slot.heard().is_none() || self.reports_shutdown
+        self.slot.last_activity().is_none() || self.reports_shutdown
     }
 
     /// Returns the time since the endpoint last answered, or since its monitoring began.
     fn time_since_answer(&self, now: SystemTime) -> Duration {
-        let heard = self.slot.heard().map_or(self.monitored_since, |heard| heard.max(self.monitored_since));
+        let heard = self.slot.last_activity().map_or(self.monitored_since, |heard| heard.max(self.monitored_since));
         now.duration_since(heard).unwrap_or_default()
     }
 }
@@ -257,12 +257,12 @@
 ) {
     let timeout = Duration::from_millis(cx.shared.settings.endpoints.silence_ms);
     let request = get(&format!("http://{address}/load"));
-    let report = match cx.http.call(address, request, Reuse::Allowed, timeout, MAX_REPORT_BYTES).await {
+    let report = match cx.http.call(address, request, ConnectionReuse::Allowed, timeout, MAX_REPORT_BYTES).await {
         Ok(answer) => {
-            let body = answer.expect_ok(address).ok();
+            let body = answer.into_ok_body(address).ok();
             body.and_then(|body| serde_json::from_slice::<LoadReport>(&body).ok()).map(std::convert::Into::into)
         },
-        Err(error) => error.surely_not_sent().then_some(EndpointReport::Gone),
+        Err(error) => error.is_known_not_sent().then_some(EndpointReport::ConnectionRefused),
     };
     if let Some(report) = report {
         let _ = service.cast(EndpointsMessage::OwnReport { endpoint, own, report });
@@ -271,6 +271,6 @@
 
 impl From<LoadReport> for EndpointReport {
     fn from(report: LoadReport) -> Self {
-        Self::Load { load: report.load, leaving: report.leaving }
+        Self::Load { load: report.load, shutting_down: report.leaving }
     }
 }
--- a/havengrade_router/src/services/ledger.rs
+++ b/havengrade_router/src/services/ledger.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     kernel::Context,
-    platform::{LogSlice, Stream},
+    platform::{LogSlice, LogStream},
     services::{
         outbox::{Outbox, OutboxMessage, SubmitOutcome},
         peers::OutboxOwner,
@@ -112,7 +112,7 @@
         let next_offset = Arc::new(AtomicU64::new(0));
         let reader = tokio::spawn(read_stream(cx.clone(), myself.clone(), next_offset.clone()));
         let now = cx.shared.clock.now();
-        let outbox = Outbox::new(cx.clone(), Stream::Ledger);
+        let outbox = Outbox::new(cx.clone(), LogStream::Ledger);
         Ok(LedgerState {
             cx,
             ledger: Ledger::default(),
@@ -165,7 +165,7 @@
     let wait = Duration::from_millis(cx.shared.settings.log_service.read_wait_ms);
     loop {
         let from = next_offset.load(Ordering::Acquire);
-        match cx.log.read(Stream::Ledger, from, MAX_READ_BATCHES, wait).await {
+        match cx.log.read(LogStream::Ledger, from, MAX_READ_BATCHES, wait).await {
             Ok(slice) => {
                 if service.call(|reply| LedgerMessage::Replay { slice, reply }, None).await.is_err() {
                     return;
--- a/havengrade_router/src/services/members/mod.rs
+++ b/havengrade_router/src/services/members/mod.rs
@@ -193,7 +193,7 @@
             shared.config_next().cast_signed(),
             revision.map(u64::cast_signed),
             i64::try_from(shared.staleness(now).as_millis()).unwrap_or(i64::MAX),
-            shared.closed(now).is_none(),
+            shared.not_serving_reason(now).is_none(),
             shared.is_draining(),
             i32::try_from(shared.requests.in_progress()).unwrap_or(i32::MAX),
             (!account_uses.is_empty()).then_some(account_uses),
@@ -233,10 +233,12 @@
 
     fn take_endpoint_reports(&self) -> Vec<EndpointLoad> {
         let to_load = |(endpoint, report)| match report {
-            EndpointReport::Load { load, leaving } => EndpointLoad::new(endpoint, load.cast_signed(), leaving, false),
-            EndpointReport::Gone => EndpointLoad::new(endpoint, 0, false, true),
+            EndpointReport::Load { load, shutting_down } => {
+                EndpointLoad::new(endpoint, load.cast_signed(), shutting_down, false)
+            },
+            EndpointReport::ConnectionRefused => EndpointLoad::new(endpoint, 0, false, true),
         };
-        self.cx.shared.take_reports().into_iter().map(to_load).collect()
+        self.cx.shared.take_endpoint_reports().into_iter().map(to_load).collect()
     }
 
     async fn take_own_evidence(&self) -> Vec<EvidenceTally> {
@@ -294,10 +296,10 @@
         let until =
             self.membership.majority_confirmed_until(shared.vm(), own_next, self.silence_timeout(), shared.clock.now());
         if let Some(until) = until {
-            shared.set_majority_until(until);
+            shared.set_majority_confirmed_until(until);
             // A VM that starts while the log is unreachable has caught up once a majority knows nothing newer.
             if until > shared.clock.now() && !shared.is_log_reachable() && own_next > 0 {
-                shared.catch_up();
+                shared.set_caught_up();
             }
         }
     }
@@ -380,7 +382,7 @@
         if let Some(at) = requested_at.checked_sub(heartbeat.staleness)
             && at > SystemTime::UNIX_EPOCH
         {
-            self.cx.shared.confirm(at);
+            self.cx.shared.confirm_config(at);
         }
     }
 
--- a/havengrade_router/src/services/members/wire.rs
+++ b/havengrade_router/src/services/members/wire.rs
@@ -14,9 +14,9 @@
 /// Decodes an endpoint's report that another VM relays.
 pub(super) fn decode_load(load: EndpointLoad) -> (EndpointId, EndpointReport) {
     let report = if load.gone {
-        EndpointReport::Gone
+        EndpointReport::ConnectionRefused
     } else {
-        EndpointReport::Load { load: load.load.max(0).cast_unsigned(), leaving: load.leaving }
+        EndpointReport::Load { load: load.load.max(0).cast_unsigned(), shutting_down: load.leaving }
     };
     (load.endpoint, report)
 }
--- a/havengrade_router/src/services/operators.rs
+++ b/havengrade_router/src/services/operators.rs
@@ -30,7 +30,7 @@
 use crate::{
     kernel::{BindSnafu, Context, Service, StartError, spawn},
     net::{BoxConnection, Listener},
-    platform::Stream,
+    platform::LogStream,
     services::{
         config::{self, ConfigMessage},
         members::{self, MembersMessage},
@@ -313,7 +313,7 @@
     loop {
         let slice = cx
             .log
-            .read(Stream::Config, next, MAX_AUDIT_READ_RECORDS, Duration::ZERO)
+            .read(LogStream::Config, next, MAX_AUDIT_READ_RECORDS, Duration::ZERO)
             .await
             .map_err(|error| unavailable(error.to_string()))?;
         for record in &slice.records {
--- a/havengrade_router/src/services/outbox.rs
+++ b/havengrade_router/src/services/outbox.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     kernel::Context,
-    platform::Stream,
+    platform::LogStream,
     services::peers::{self, OutboxOwner, PeersMessage},
 };
 
@@ -93,7 +93,7 @@
 /// Queue of records to append to a stream of the log, with at most one batch in flight.
 pub(super) struct Outbox {
     cx: Context,
-    stream: Stream,
+    stream: LogStream,
     queue: Vec<PendingRecord>,
     in_flight: Option<SentBatch>,
     last_seq: u64,
@@ -105,7 +105,7 @@
 }
 
 impl Outbox {
-    pub(super) fn new(cx: Context, stream: Stream) -> Self {
+    pub(super) fn new(cx: Context, stream: LogStream) -> Self {
         Self {
             cx,
             stream,
@@ -153,7 +153,7 @@
         let is_full = self.queue.len() >= MAX_BATCH_RECORDS;
         let gathering_wait =
             (first.submitted_at + window).duration_since(now).ok().filter(|wait| !wait.is_zero() && !is_full);
-        let wait = gathering_wait.or_else(|| self.cx.shared.take_append(now).err());
+        let wait = gathering_wait.or_else(|| self.cx.shared.try_acquire_append(now).err());
         match wait {
             Some(wait) => self.schedule_wake(wait, now, service),
             None => self.send_batch(now, service),
@@ -290,13 +290,18 @@
 
     fn update_waiting_count(&mut self) {
         let waiting = self.queue.len() + self.in_flight.as_ref().map_or(0, |sent| sent.records.len());
-        self.cx.shared.change_waiting(self.counted_waiting, waiting);
+        self.cx.shared.adjust_waiting_bills(self.counted_waiting, waiting);
         self.counted_waiting = waiting;
     }
 }
 
 /// Retries to append a batch until the log service acknowledges it; a duplicate batch has no effect.
-async fn append_until_acknowledged<M: OutboxMessage>(cx: Context, stream: Stream, service: ActorRef<M>, batch: Batch) {
+async fn append_until_acknowledged<M: OutboxMessage>(
+    cx: Context,
+    stream: LogStream,
+    service: ActorRef<M>,
+    batch: Batch,
+) {
     let Ok(data) = serde_json::to_string(&batch) else { return };
     while cx.log.append(stream, data.clone()).await.is_err() {
         sleep(LOG_RETRY_DELAY).await;
--- a/havengrade_router/src/settings/mod.rs
+++ b/havengrade_router/src/settings/mod.rs
@@ -1,14 +1,14 @@
 //! Settings of the router, one file a section.
 
-mod check;
+mod parse;
 mod reload;
 mod sections;
 
 use serde::{Deserialize, Serialize};
 
 pub use self::{
-    check::{Fault, SettingsError, parse},
-    reload::{ReadError, SettingsFile, differences},
+    parse::{SettingsError, SettingsFault, parse},
+    reload::{SettingsFile, SettingsFileError, changed_keys},
     sections::{
         ClaimSettings, DrainSettings, EndpointSettings, LimitSettings, ListenSettings, LogServiceSettings,
         LoggingSettings, Operator, PeerSettings, PublishedSettings, RatingSettings, VmListSettings, VmSettings,
@@ -53,9 +53,9 @@
     /// ```
     /// use havengrade_router::settings::{self, Settings};
     ///
-    /// assert_eq!(settings::parse(&Settings::print_defaults()).unwrap(), Settings::default());
+    /// assert_eq!(settings::parse(&Settings::default_toml()).unwrap(), Settings::default());
     /// ```
-    pub fn print_defaults() -> String {
+    pub fn default_toml() -> String {
         toml::to_string(&Self::default()).unwrap_or_default()
     }
 }
--- a/havengrade_router/src/settings/check.rs
+++ b/havengrade_router/src/settings/parse.rs
@@ -10,7 +10,7 @@
 
 /// A fault of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct SettingsFault {
     /// Key at fault, with its section.
     pub key: String,
     /// Value that stands there.
@@ -19,7 +19,7 @@
     pub remedy: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SettingsFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} = {}: {}", self.key, self.value, self.remedy)
     }
@@ -38,7 +38,7 @@
     #[snafu(display("settings: {}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\nsettings: ")))]
     Faulty {
         /// All of them.
-        faults: Vec<Fault>,
+        faults: Vec<SettingsFault>,
     },
 }
 
@@ -75,7 +75,7 @@
 }
 
 /// Takes a section over key by key, so that each key's fault is found by itself.
-fn merge(defaults: &Table, merged: &mut Table, section: &str, value: &Value, faults: &mut Vec<Fault>) {
+fn merge(defaults: &Table, merged: &mut Table, section: &str, value: &Value, faults: &mut Vec<SettingsFault>) {
     let Value::Table(keys) = value else {
         return merge_value(defaults, merged, &[section], value, faults);
     };
@@ -87,13 +87,17 @@
     }
 }
 
-fn merge_value(defaults: &Table, merged: &mut Table, path: &[&str], value: &Value, faults: &mut Vec<Fault>) {
+fn merge_value(defaults: &Table, merged: &mut Table, path: &[&str], value: &Value, faults: &mut Vec<SettingsFault>) {
     let mut alone = defaults.clone();
     set(&mut alone, path, value.clone());
     match Settings::deserialize_table(alone) {
         Ok(_) => set(merged, path, value.clone()),
         Err(error) => {
-            faults.push(Fault { key: path.join("."), value: value.to_string(), remedy: remedy(error.message()) });
+            faults.push(SettingsFault {
+                key: path.join("."),
+                value: value.to_string(),
+                remedy: remedy(error.message()),
+            });
         },
     }
 }
@@ -118,7 +122,7 @@
 }
 
 /// Values that can be read but can't be meant.
-fn impossible(settings: &Settings) -> Vec<Fault> {
+fn impossible(settings: &Settings) -> Vec<SettingsFault> {
     let mut faults = Vec::new();
     check_zeros(settings, &mut faults);
     check_ports(settings, &mut faults);
@@ -128,7 +132,7 @@
     faults
 }
 
-fn check_zeros(settings: &Settings, faults: &mut Vec<Fault>) {
+fn check_zeros(settings: &Settings, faults: &mut Vec<SettingsFault>) {
     /// Keys for which 0 has a meaning.
     const MAY_BE_ZERO: [&str; 4] =
         ["vm.traffic_threads", "rating.sample", "claims.batch_window_ms", "endpoints.retry_percent"];
@@ -138,13 +142,13 @@
         for (key, value) in keys {
             let path = format!("{section}.{key}");
             if *value == Value::Integer(0) && !MAY_BE_ZERO.contains(&path.as_str()) {
-                faults.push(Fault { key: path, value: "0".into(), remedy: "must be 1 or more".into() });
+                faults.push(SettingsFault { key: path, value: "0".into(), remedy: "must be 1 or more".into() });
             }
         }
     }
 }
 
-fn check_ports(settings: &Settings, faults: &mut Vec<Fault>) {
+fn check_ports(settings: &Settings, faults: &mut Vec<SettingsFault>) {
     let listen = &settings.listen;
     let mut seen = BTreeSet::new();
     let ports = [
@@ -158,7 +162,7 @@
     for (key, address) in ports.into_iter().chain(published) {
         if address.port() != 0 && !seen.insert(address) {
             let remedy = "another port of this VM has the same address; give each its own".into();
-            faults.push(Fault { key: key.into(), value: address.to_string(), remedy });
+            faults.push(SettingsFault { key: key.into(), value: address.to_string(), remedy });
         }
     }
 }
@@ -166,7 +170,7 @@
 /// Most retries for each request that can be meant; more would multiply an overload.
 const MAX_RETRY_RATIO: f64 = 10.0;
 
-fn check_published(settings: &Settings, faults: &mut Vec<Fault>) {
+fn check_published(settings: &Settings, faults: &mut Vec<SettingsFault>) {
     let published = &settings.published;
     let ranges = [
         ("published.max_trial_share", published.max_trial_share, 1.0),
@@ -175,17 +179,21 @@
     for (key, value, most) in ranges {
         if !(0.0..=most).contains(&value) {
             let remedy = format!("must be from 0 to {most}");
-            faults.push(Fault { key: key.into(), value: value.to_string(), remedy });
+            faults.push(SettingsFault { key: key.into(), value: value.to_string(), remedy });
         }
     }
     for (key, seconds) in [("published.session_s", published.session_s), ("published.grace_s", published.grace_s)] {
         if !seconds.is_finite() || seconds <= 0.0 {
-            faults.push(Fault { key: key.into(), value: seconds.to_string(), remedy: "must be more than 0".into() });
+            faults.push(SettingsFault {
+                key: key.into(),
+                value: seconds.to_string(),
+                remedy: "must be more than 0".into(),
+            });
         }
     }
 }
 
-fn check_times(settings: &Settings, faults: &mut Vec<Fault>) {
+fn check_times(settings: &Settings, faults: &mut Vec<SettingsFault>) {
     let pairs = [
         ("claims.batch_window_ms", settings.claims.batch_window_ms, "claims.deadline_ms", settings.claims.deadline_ms),
         ("claims.horizon_s", settings.claims.horizon_s, "log_service.retention_s", settings.log_service.retention_s),
@@ -195,14 +203,14 @@
     for (key, value, over, limit) in pairs {
         if value >= limit {
             let remedy = format!("must be less than {over}, which is {limit}");
-            faults.push(Fault { key: key.into(), value: value.to_string(), remedy });
+            faults.push(SettingsFault { key: key.into(), value: value.to_string(), remedy });
         }
     }
 }
 
-fn check_names(settings: &Settings, faults: &mut Vec<Fault>) {
+fn check_names(settings: &Settings, faults: &mut Vec<SettingsFault>) {
     let mut fault = |key: &str, value: &str, remedy: &str| {
-        faults.push(Fault { key: key.into(), value: format!("{value:?}"), remedy: remedy.into() });
+        faults.push(SettingsFault { key: key.into(), value: format!("{value:?}"), remedy: remedy.into() });
     };
     let id = &settings.vm.id;
     if id.is_empty() || id.contains(['/', '.']) {
--- a/havengrade_router/src/settings/reload.rs
+++ b/havengrade_router/src/settings/reload.rs
@@ -11,7 +11,7 @@
 use crate::settings::{Settings, SettingsError, parse};
 
 /// Keys that take effect while a program runs; all others do so with the next start.
-const LIVE: [&str; 9] = [
+const LIVE_KEYS: [&str; 9] = [
     "logging.level",
     "published.config_wait_ms",
     "published.endpoints_poll_ms",
@@ -25,7 +25,7 @@
 
 /// Why a settings file was not taken over.
 #[derive(Debug, Snafu)]
-pub enum ReadError {
+pub enum SettingsFileError {
     /// The file can't be read.
     #[snafu(display("--settings {}: {source}; name a file that can be read", path.display()))]
     Unreadable {
@@ -54,8 +54,8 @@
     ///
     /// # Errors
     ///
-    /// [`ReadError`] where it can't be read or holds faults.
-    pub fn open(path: &Path) -> Result<(Self, Settings), ReadError> {
+    /// [`SettingsFileError`] where it can't be read or holds faults.
+    pub fn open(path: &Path) -> Result<(Self, Settings), SettingsFileError> {
         let text = fs::read_to_string(path).context(UnreadableSnafu { path })?;
         let settings = parse(&text).context(FaultySnafu)?;
         Ok((Self { path: path.to_owned(), text }, settings))
@@ -65,8 +65,8 @@
     ///
     /// # Errors
     ///
-    /// [`ReadError`] where it can't be read or holds faults; a faulty text is named once only.
-    pub fn changed(&mut self) -> Result<Option<Settings>, ReadError> {
+    /// [`SettingsFileError`] where it can't be read or holds faults; a faulty text is named once only.
+    pub fn reload(&mut self) -> Result<Option<Settings>, SettingsFileError> {
         let text = fs::read_to_string(&self.path).context(UnreadableSnafu { path: &self.path })?;
         if text == self.text {
             return Ok(None);
@@ -79,21 +79,21 @@
 /// Keys whose values differ, and whether each takes effect without a restart.
 ///
 /// ```
-/// use havengrade_router::settings::{Settings, differences};
+/// use havengrade_router::settings::{Settings, changed_keys};
 ///
 /// let mut new = Settings::default();
 /// new.published.withdrawal_ms = 4000;
 /// new.vm.id = "vm-9".into();
-/// let found = differences(&Settings::default(), &new);
+/// let found = changed_keys(&Settings::default(), &new);
 /// assert_eq!(found, [("published.withdrawal_ms".to_owned(), true), ("vm.id".to_owned(), false)]);
 /// ```
-pub fn differences(old: &Settings, new: &Settings) -> Vec<(String, bool)> {
+pub fn changed_keys(old: &Settings, new: &Settings) -> Vec<(String, bool)> {
     let (old, new) = (keys(old), keys(new));
     let mut all: Vec<&String> = old.keys().chain(new.keys()).collect();
     all.sort_unstable();
     all.dedup();
     let differing = all.into_iter().filter(|key| old.get(*key) != new.get(*key));
-    differing.map(|key| (key.clone(), LIVE.contains(&key.as_str()))).collect()
+    differing.map(|key| (key.clone(), LIVE_KEYS.contains(&key.as_str()))).collect()
 }
 
 /// All keys with their sections, and their values.
--- a/havengrade_router/src/shared.rs
+++ b/havengrade_router/src/shared.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Freshness {
     /// When nothing newer existed, as far as is known.
-    pub confirmed: SystemTime,
+    pub confirmed_at: SystemTime,
     /// Until when a majority of VMs, none of which knows anything newer, counts as heard.
     pub majority_confirmed_until: SystemTime,
     /// Whether the newest known offset has been reached once.
@@ -43,19 +43,19 @@
 
 /// Why new requests are refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Closed {
+pub enum NotServingReason {
     /// The VM has not caught up with the configuration, or has not looked at the endpoints yet.
     Starting,
     /// The VM can't know whether its configuration is the newest.
-    Stale,
+    StaleConfig,
     /// The VM is about to stop.
     Draining,
     /// Too many bills wait for the log service.
-    BillsWaiting,
+    TooManyWaitingBills,
 }
 
 /// State that is shared between the control thread and traffic.
-pub struct Shared {
+pub struct SharedState {
     /// Settings of the router.
     pub settings: Arc<Settings>,
     /// Run of this process.
@@ -72,26 +72,26 @@
     pub requests: RequestTable,
     freshness: ArcSwap<Freshness>,
     admission: Mutex<Admission>,
-    retries: Mutex<RetryBudget>,
+    retry_budget: Mutex<RetryBudget>,
     quarantine: Mutex<Quarantine>,
-    appends: Mutex<AppendBudget>,
-    seen: Mutex<HashMap<TallyKey, Tally>>,
+    append_budget: Mutex<AppendBudget>,
+    pending_evidence: Mutex<HashMap<TallyKey, Tally>>,
     rng: Mutex<ChaCha8Rng>,
     live_vms: ArcSwap<Vec<VmId>>,
-    loads: Mutex<BTreeMap<EndpointId, EndpointReport>>,
-    are_endpoints_known: AtomicBool,
+    endpoint_reports: Mutex<BTreeMap<EndpointId, EndpointReport>>,
+    are_endpoints_probed: AtomicBool,
     is_draining: AtomicBool,
     is_log_reachable: AtomicBool,
     waiting_bills: AtomicUsize,
     config_next: AtomicU64,
 }
 
-impl Shared {
+impl SharedState {
     /// The state of a router that has just started.
     pub fn new(settings: Arc<Settings>, clock: Clock, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let freshness = Freshness {
-            confirmed: SystemTime::UNIX_EPOCH,
+            confirmed_at: SystemTime::UNIX_EPOCH,
             majority_confirmed_until: SystemTime::UNIX_EPOCH,
             is_caught_up: false,
         };
@@ -105,14 +105,14 @@
             requests: RequestTable::new(settings.limits.max_kept_answers),
             freshness: ArcSwap::from_pointee(freshness),
             admission: Mutex::default(),
-            seen: Mutex::default(),
-            appends: Mutex::default(),
+            pending_evidence: Mutex::default(),
+            append_budget: Mutex::default(),
             quarantine: Mutex::default(),
-            retries: Mutex::new(RetryBudget::new(settings.endpoints.retry_percent)),
+            retry_budget: Mutex::new(RetryBudget::new(settings.endpoints.retry_percent)),
             rng: Mutex::new(rng),
             live_vms: ArcSwap::from_pointee(vec![settings.vm.id.clone()]),
-            loads: Mutex::default(),
-            are_endpoints_known: AtomicBool::new(false),
+            endpoint_reports: Mutex::default(),
+            are_endpoints_probed: AtomicBool::new(false),
             is_draining: AtomicBool::new(false),
             is_log_reachable: AtomicBool::new(false),
             waiting_bills: AtomicUsize::new(0),
@@ -127,19 +127,19 @@
     }
 
     /// Why new requests are refused now, if they are.
-    pub fn closed(&self, now: SystemTime) -> Option<Closed> {
+    pub fn not_serving_reason(&self, now: SystemTime) -> Option<NotServingReason> {
         let freshness = self.freshness.load();
         if self.is_draining.load(Ordering::Acquire) {
-            return Some(Closed::Draining);
+            return Some(NotServingReason::Draining);
         }
-        if !freshness.is_caught_up || !self.are_endpoints_known.load(Ordering::Acquire) {
-            return Some(Closed::Starting);
+        if !freshness.is_caught_up || !self.are_endpoints_probed.load(Ordering::Acquire) {
+            return Some(NotServingReason::Starting);
         }
         if !self.is_fresh(now) {
-            return Some(Closed::Stale);
+            return Some(NotServingReason::StaleConfig);
         }
         let is_full = self.waiting_bills.load(Ordering::Relaxed) >= self.settings.limits.max_waiting_bills;
-        is_full.then_some(Closed::BillsWaiting)
+        is_full.then_some(NotServingReason::TooManyWaitingBills)
     }
 
     /// Whether the configuration may be relied on now.
@@ -151,27 +151,31 @@
     }
 
     /// When nothing newer than the configuration in force existed for sure.
-    pub fn confirmed(&self) -> SystemTime {
-        self.freshness.load().confirmed
+    pub fn config_confirmed_at(&self) -> SystemTime {
+        self.freshness.load().confirmed_at
     }
 
     /// How long ago nothing newer than the configuration in force existed for sure.
     pub fn staleness(&self, now: SystemTime) -> Duration {
-        now.duration_since(self.confirmed()).unwrap_or_default()
+        now.duration_since(self.config_confirmed_at()).unwrap_or_default()
     }
 
     /// Notes that nothing newer existed at `at`.
-    pub fn confirm(&self, at: SystemTime) {
-        self.freshness.rcu(|known| Freshness { confirmed: known.confirmed.max(at), is_caught_up: true, ..**known });
+    pub fn confirm_config(&self, at: SystemTime) {
+        self.freshness.rcu(|known| Freshness {
+            confirmed_at: known.confirmed_at.max(at),
+            is_caught_up: true,
+            ..**known
+        });
     }
 
     /// Notes until when a majority counts as heard.
-    pub fn set_majority_until(&self, until: SystemTime) {
+    pub fn set_majority_confirmed_until(&self, until: SystemTime) {
         self.freshness.rcu(|known| Freshness { majority_confirmed_until: until, ..**known });
     }
 
     /// Notes that the newest offset that a majority knows has been reached.
-    pub fn catch_up(&self) {
+    pub fn set_caught_up(&self) {
         self.freshness.rcu(|known| Freshness { is_caught_up: true, ..**known });
     }
 
@@ -181,8 +185,8 @@
     }
 
     /// Notes that the endpoints have been asked for a first sign.
-    pub fn set_endpoints_known(&self) {
-        self.are_endpoints_known.store(true, Ordering::Release);
+    pub fn set_endpoints_probed(&self) {
+        self.are_endpoints_probed.store(true, Ordering::Release);
     }
 
     /// Begins a planned stop; tells whether it is the first call.
@@ -216,22 +220,22 @@
     }
 
     /// Live VMs that share the limits of client accounts and of the log service.
-    pub fn sharers(&self) -> u32 {
+    pub fn live_vm_count(&self) -> u32 {
         u32::try_from(self.live_vms.load().len()).unwrap_or(u32::MAX).max(1)
     }
 
     /// Notes an endpoint's report for the next heartbeat.
-    pub fn note_report(&self, endpoint: EndpointId, report: EndpointReport) {
-        lock(&self.loads).insert(endpoint, report);
+    pub fn record_endpoint_report(&self, endpoint: EndpointId, report: EndpointReport) {
+        lock(&self.endpoint_reports).insert(endpoint, report);
     }
 
     /// Takes the reports since the last call.
-    pub fn take_reports(&self) -> BTreeMap<EndpointId, EndpointReport> {
-        std::mem::take(&mut *lock(&self.loads))
+    pub fn take_endpoint_reports(&self) -> BTreeMap<EndpointId, EndpointReport> {
+        std::mem::take(&mut *lock(&self.endpoint_reports))
     }
 
     /// Notes that so many records more, or fewer, wait for the log service.
-    pub fn change_waiting(&self, before: usize, after: usize) {
+    pub fn adjust_waiting_bills(&self, before: usize, after: usize) {
         self.waiting_bills.fetch_add(after.wrapping_sub(before), Ordering::Relaxed);
     }
 
@@ -261,8 +265,8 @@
     }
 
     /// The retry budget, locked for a moment.
-    pub fn retries(&self) -> MutexGuard<'_, RetryBudget> {
-        lock(&self.retries)
+    pub fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
+        lock(&self.retry_budget)
     }
 
     /// Takes an append to the log out of this VM's share, or tells how long to wait for one.
@@ -270,21 +274,21 @@
     /// # Errors
     ///
     /// The time after which there will be one.
-    pub fn take_append(&self, now: SystemTime) -> Result<(), Duration> {
-        let share = f64::from(self.settings.log_service.appends_per_second) / f64::from(self.sharers());
-        lock(&self.appends).try_acquire(share, now)
+    pub fn try_acquire_append(&self, now: SystemTime) -> Result<(), Duration> {
+        let share = f64::from(self.settings.log_service.appends_per_second) / f64::from(self.live_vm_count());
+        lock(&self.append_budget).try_acquire(share, now)
     }
 
     /// Notes how a version answered; it waits here, summed up, until the control thread takes it.
-    pub fn note_evidence(&self, subject: TallyKey, tally: Tally) {
-        let mut seen = lock(&self.seen);
+    pub fn record_evidence(&self, subject: TallyKey, tally: Tally) {
+        let mut seen = lock(&self.pending_evidence);
         let sum = seen.entry(subject).or_default();
         *sum = sum.plus(&tally);
     }
 
     /// Takes what was noted since the last call.
     pub fn take_evidence(&self) -> HashMap<TallyKey, Tally> {
-        std::mem::take(&mut *lock(&self.seen))
+        std::mem::take(&mut *lock(&self.pending_evidence))
     }
 
     /// The random numbers, locked for a moment.
--- a/havengrade_router/src/traffic/active_request.rs
+++ b/havengrade_router/src/traffic/active_request.rs
@@ -121,9 +121,9 @@
         let settings = &self.cx.shared.settings.endpoints;
         let Some(slot) = self.cx.shared.endpoints.slot(endpoint) else { return };
         if succeeded {
-            slot.succeed(self.now());
+            slot.record_success(self.now());
         } else {
-            slot.fail(settings.eject_after, Duration::from_millis(settings.eject_ms), self.now());
+            slot.record_failure(settings.eject_after, Duration::from_millis(settings.eject_ms), self.now());
         }
     }
 
--- a/havengrade_router/src/traffic/backoff.rs
+++ b/havengrade_router/src/traffic/backoff.rs
@@ -11,6 +11,6 @@
 pub(crate) fn record_backoff(cx: &Context, endpoint: &str, status: StatusCode, headers: &HeaderMap) {
     let Some(backoff) = requested_backoff(status, parse_decimal(headers, &RETRY_AFTER)) else { return };
     let Some(slot) = cx.shared.endpoints.slot(endpoint) else { return };
-    slot.rest(backoff, cx.shared.clock.now());
+    slot.back_off(backoff, cx.shared.clock.now());
     log::info!(endpoint = endpoint, rest_ms = backoff.as_millis() as u64; "endpoint asks this VM for rest");
 }
--- a/havengrade_router/src/traffic/engine_stream.rs
+++ b/havengrade_router/src/traffic/engine_stream.rs
@@ -19,7 +19,7 @@
 };
 
 use crate::{
-    http::{HttpError, Reuse, get, post},
+    http::{ConnectionReuse, HttpError, get, post},
     kernel::Context,
     traffic::{backoff::record_backoff, chat_api::EngineChunk},
 };
@@ -82,7 +82,7 @@
             OpenStream { call: self, received_pieces: 0, usage: TokenUsage::default(), is_finished: false };
         let mut opened = self.open(self.start_request(body)).await;
         if let Err(error) = &opened
-            && error.surely_not_sent()
+            && error.is_known_not_sent()
         {
             stream.is_finished = true;
             return Err(EngineError::NotRun(error.to_string()));
@@ -128,7 +128,7 @@
     }
 
     async fn open(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, HttpError> {
-        self.cx.http.open(self.endpoint.address, request, Reuse::Allowed, self.stall_timeout()).await
+        self.cx.http.send(self.endpoint.address, request, ConnectionReuse::Allowed, self.stall_timeout()).await
     }
 
     fn start_request(&self, body: &Value) -> Request<Full<Bytes>> {
@@ -214,7 +214,7 @@
         *request.method_mut() = Method::DELETE;
         let (client, address) = (self.call.cx.http.clone(), self.call.endpoint.address);
         self.call.cx.spawn(async move {
-            drop(client.call(address, request, Reuse::Allowed, CANCEL_TIMEOUT, MAX_LINE_BYTES).await);
+            drop(client.call(address, request, ConnectionReuse::Allowed, CANCEL_TIMEOUT, MAX_LINE_BYTES).await);
         });
     }
 }
--- a/havengrade_router/src/traffic/execution.rs
+++ b/havengrade_router/src/traffic/execution.rs
@@ -179,7 +179,7 @@
             stream_id: format!("{}.{}", request.entry.id, tried.len()),
             priority: request.decision.class.priority,
         };
-        let in_flight = request.cx.shared.endpoints.enter(&endpoint.id);
+        let in_flight = request.cx.shared.endpoints.begin_request(&endpoint.id);
         let was_sent = request.mark_sent();
         let sent = request.now();
         let result = call.run(&body, &mut collector).await;
@@ -228,8 +228,8 @@
 ) -> Option<Endpoint> {
     let shared = &request.cx.shared;
     if tried.is_empty() {
-        shared.retries().record_first_try();
-    } else if tried.len() >= shared.settings.endpoints.max_tries as usize || !shared.retries().try_acquire() {
+        shared.retry_budget().record_first_try();
+    } else if tried.len() >= shared.settings.endpoints.max_tries as usize || !shared.retry_budget().try_acquire() {
         return None;
     }
     request.choose_endpoint(version, tried)
@@ -403,7 +403,7 @@
 fn record_result(request: &ActiveRequest, version: &VersionId, succeeded: bool) {
     let key = TallyKey { class: request.decision.class.id.clone(), version: version.clone() };
     let tally = Tally { ended: 1, failed: u64::from(!succeeded), ..Tally::default() };
-    request.cx.shared.note_evidence(key, tally);
+    request.cx.shared.record_evidence(key, tally);
 }
 
 /// Has an answer rated: at once where the score decides about escalation, otherwise in the background for a sample of
@@ -427,7 +427,7 @@
     let rate = async move {
         let score = rating.rate(&rating_request).await.ok()?;
         let tally = Tally { rated: 1, score: u64::from(score), passed: u64::from(score >= target), ..Tally::default() };
-        shared.note_evidence(key, tally);
+        shared.record_evidence(key, tally);
         Some(score)
     };
     if request.decision.checks_answers {
--- a/havengrade_router/src/traffic/plain_call.rs
+++ b/havengrade_router/src/traffic/plain_call.rs
@@ -17,7 +17,7 @@
 use tokio::time::sleep;
 
 use crate::{
-    http::{Answer, HttpError, Reuse, post},
+    http::{Answer, ConnectionReuse, HttpError, post},
     traffic::{
         Problem,
         active_request::{ActiveRequest, Consumption},
@@ -56,7 +56,7 @@
         if !request.may_send(None) {
             break;
         }
-        let in_flight = request.cx.shared.endpoints.enter(&endpoint.id);
+        let in_flight = request.cx.shared.endpoints.begin_request(&endpoint.id);
         let sent = request.now();
         let result = send(request, &endpoint, content_type, path).await;
         drop(in_flight);
@@ -71,7 +71,7 @@
                 return finish(request, &endpoint, answer).await;
             },
             Ok(answer) => return finish(request, &endpoint, answer).await,
-            Err(error) if error.surely_not_sent() => problem = unavailable(&error.to_string()),
+            Err(error) if error.is_known_not_sent() => problem = unavailable(&error.to_string()),
             Err(error) => {
                 quarantine.record_broken_attempt(&endpoint, sent).await;
                 if !request.is_repeatable() && !endpoint.deduplicates {
@@ -123,12 +123,12 @@
     content_type: &str,
     path: &str,
 ) -> Result<Answer, HttpError> {
-    let reuse = if request.is_repeatable() { Reuse::Allowed } else { Reuse::Never };
+    let reuse = if request.is_repeatable() { ConnectionReuse::Allowed } else { ConnectionReuse::Never };
     let http_request = build_request(request, endpoint, content_type, path);
     let was_sent = request.mark_sent();
     let result =
         request.cx.http.call(endpoint.address, http_request, reuse, request.time_left(), MAX_ANSWER_BYTES).await;
-    if !was_sent && result.as_ref().is_err_and(HttpError::surely_not_sent) {
+    if !was_sent && result.as_ref().is_err_and(HttpError::is_known_not_sent) {
         request.unmark_sent();
     }
     result
--- a/havengrade_router/src/traffic/problem.rs
+++ b/havengrade_router/src/traffic/problem.rs
@@ -11,7 +11,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::shared::Closed;
+use crate::shared::NotServingReason;
 
 /// Whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -127,15 +127,21 @@
     }
 }
 
-impl From<Closed> for Problem {
-    fn from(closed: Closed) -> Self {
+impl From<NotServingReason> for Problem {
+    fn from(closed: NotServingReason) -> Self {
         /// Time after which another VM, or this one, is expected to serve requests.
         const RETRY_DELAY: Duration = Duration::from_secs(1);
         let (kind, detail) = match closed {
-            Closed::Starting => ("starting", "this VM has not caught up with the configuration yet; try another"),
-            Closed::Stale => ("stale", "this VM can't tell whether its configuration is the newest; try another"),
-            Closed::Draining => ("draining", "this VM is about to stop; try another"),
-            Closed::BillsWaiting => ("bills_waiting", "too many bills wait for the log service; come back later"),
+            NotServingReason::Starting => {
+                ("starting", "this VM has not caught up with the configuration yet; try another")
+            },
+            NotServingReason::StaleConfig => {
+                ("stale", "this VM can't tell whether its configuration is the newest; try another")
+            },
+            NotServingReason::Draining => ("draining", "this VM is about to stop; try another"),
+            NotServingReason::TooManyWaitingBills => {
+                ("bills_waiting", "too many bills wait for the log service; come back later")
+            },
         };
         Self::not_run(StatusCode::SERVICE_UNAVAILABLE, kind, detail).with_retry_after(RETRY_DELAY)
     }
--- a/havengrade_router/src/traffic/quarantine.rs
+++ b/havengrade_router/src/traffic/quarantine.rs
@@ -97,7 +97,7 @@
         let run = (self.fingerprint, self.version_fingerprint);
         self.request.cx.shared.quarantine().record_broken_attempt(run, &endpoint.id, ran_for, now);
         let (cx, id, address) = (self.request.cx.clone(), endpoint.id.clone(), endpoint.address);
-        let shutdown = cx.end.clone();
+        let shutdown = cx.forced_shutdown.clone();
         let probing =
             tokio::spawn(shutdown.run_until_cancelled_owned(async move { probe_endpoint(&cx, &id, address).await }));
         if timeout(PROBE_WAIT, probing).await.is_err() {
--- a/havengrade_router/src/traffic/routes.rs
+++ b/havengrade_router/src/traffic/routes.rs
@@ -72,7 +72,7 @@
 }
 
 fn readiness(cx: &Context) -> Answer {
-    match cx.shared.closed(cx.shared.clock.now()) {
+    match cx.shared.not_serving_reason(cx.shared.clock.now()) {
         None => whole_answer(200, "text/plain", "ready\n".into()),
         Some(closed) => problem_answer(&Problem::from(closed)),
     }
@@ -232,13 +232,13 @@
 ) -> Result<RoutingDecision, Problem> {
     let shared = &cx.shared;
     let now = shared.clock.now();
-    if let Some(closed) = shared.closed(now) {
+    if let Some(closed) = shared.not_serving_reason(now) {
         return Err(Problem::from(closed));
     }
     let (catalog, evidence) = (shared.catalog.load(), shared.evidence.load());
     let decision = decide_route(&catalog, &received.account, meta, &evidence, &mut *shared.rng(), now)
         .map_err(|refusal| Problem::from(&refusal))?;
-    shared.admission().admit(&received.account, shared.sharers(), now)?;
+    shared.admission().admit(&received.account, shared.live_vm_count(), now)?;
     if shared.requests.insert(entry.clone(), shared.settings.limits.max_requests) {
         return Ok(decision);
     }
--- a/havengrade_router/src/traffic/server.rs
+++ b/havengrade_router/src/traffic/server.rs
@@ -22,8 +22,8 @@
     loop {
         match listener.accept().await {
             Ok(connection) => {
-                let served = cx.end.clone().run_until_cancelled_owned(serve_caller(cx.clone(), connection));
-                cx.connections.spawn(served);
+                let served = cx.forced_shutdown.clone().run_until_cancelled_owned(serve_caller(cx.clone(), connection));
+                cx.tracked_tasks.spawn(served);
             },
             Err(error) => {
                 log::warn!("connection not accepted: {error}");
@@ -53,7 +53,7 @@
     let served = tokio::select! {
         biased;
         served = connection.as_mut() => served,
-        () = cx.closing.cancelled() => {
+        () = cx.graceful_shutdown.cancelled() => {
             connection.as_mut().graceful_shutdown();
             connection.await
         },
--- a/havengrade_router/tests/logging.rs
+++ b/havengrade_router/tests/logging.rs
@@ -7,7 +7,7 @@
     time::Instant,
 };
 
-use havengrade_router::logging::{LineWriter, write_out};
+use havengrade_router::logging::{LineWriter, write_lines};
 
 #[test]
 fn a_reader_that_never_reads_holds_nobody_up() {
@@ -19,7 +19,7 @@
     drop(writer);
     let mut out = Vec::new();
     let start = Instant::now();
-    write_out(&rx, &dropped, 100, &|| start, &mut out);
+    write_lines(&rx, &dropped, 100, &|| start, &mut out);
     let text = String::from_utf8(out).unwrap();
     assert_eq!(text.lines().filter(|line| *line == "line").count(), 10);
     assert!(text.contains(r#""dropped":990"#), "{text}");
@@ -34,7 +34,7 @@
     drop(writer);
     let mut out = Vec::new();
     let start = Instant::now();
-    write_out(&rx, &dropped, 25, &|| start, &mut out);
+    write_lines(&rx, &dropped, 25, &|| start, &mut out);
     let text = String::from_utf8(out).unwrap();
     assert_eq!(text.lines().filter(|line| *line == "line").count(), 25);
     assert!(text.contains(r#""dropped":35"#), "{text}");
@@ -55,5 +55,5 @@
     writer.write_all(b"line\n").unwrap();
     drop(writer);
     let start = Instant::now();
-    write_out(&rx, &dropped, 100, &|| start, &mut Closed);
+    write_lines(&rx, &dropped, 100, &|| start, &mut Closed);
 }
--- a/havengrade_router/tests/settings.rs
+++ b/havengrade_router/tests/settings.rs
@@ -2,9 +2,9 @@
 #![allow(clippy::unwrap_used)]
 
 use havengrade_core::published::withdrawal_policy::WithdrawalPolicy;
-use havengrade_router::settings::{Fault, ReadError, Settings, SettingsError, SettingsFile, parse};
+use havengrade_router::settings::{Settings, SettingsError, SettingsFault, SettingsFile, SettingsFileError, parse};
 
-fn faults(text: &str) -> Vec<Fault> {
+fn faults(text: &str) -> Vec<SettingsFault> {
     match parse(text).unwrap_err() {
         SettingsError::Faulty { faults } => faults,
         SettingsError::Malformed { source } => panic!("{source}"),
@@ -93,14 +93,14 @@
     std::fs::write(&path, "[published]\nwithdrawal_ms = 4000\n").unwrap();
     let (mut file, settings) = SettingsFile::open(&path).unwrap();
     assert_eq!(settings.published.withdrawal_ms, 4000);
-    assert!(file.changed().unwrap().is_none());
+    assert!(file.reload().unwrap().is_none());
     std::fs::write(&path, "[published]\nwithdrawal_ms = 0\n").unwrap();
-    assert!(matches!(file.changed(), Err(ReadError::Faulty { .. })));
-    assert!(file.changed().unwrap().is_none(), "a faulty text is told once");
+    assert!(matches!(file.reload(), Err(SettingsFileError::Faulty { .. })));
+    assert!(file.reload().unwrap().is_none(), "a faulty text is told once");
     std::fs::write(&path, "[published]\nwithdrawal_ms = 3000\n").unwrap();
-    assert_eq!(file.changed().unwrap().unwrap().published.withdrawal_ms, 3000);
+    assert_eq!(file.reload().unwrap().unwrap().published.withdrawal_ms, 3000);
     std::fs::remove_file(&path).unwrap();
-    assert!(matches!(file.changed(), Err(ReadError::Unreadable { .. })));
+    assert!(matches!(file.reload(), Err(SettingsFileError::Unreadable { .. })));
 }
 
 #[test]
