--- a/havengrade_dev/src/stand_in/memory_store.rs
+++ b/havengrade_dev/src/stand_in/memory_store.rs
@@ -14,7 +14,7 @@
 };
 use havengrade_router::{
     published::{
-        dialect::OwnDialect,
+        dialect::HavengradeDialect,
         ports::{
             Feed, OperatorEvent, Ports, QuarantineList, ReplacedVersion, RolloutStore, Roster, StoreError, WriteOutcome,
         },
@@ -143,7 +143,7 @@
     pub fn ports(&self, vm: &str) -> Ports {
         let feed = || MemoryFeed { store: self.clone(), vm: vm.to_owned(), next: 0 };
         Ports {
-            dialect: Box::new(OwnDialect),
+            dialect: Box::new(HavengradeDialect),
             operators: Box::new(feed()),
             endpoints: Box::new(feed()),
             statuses: Box::new(feed()),
--- a/havengrade_router/src/published/config_ports.rs
+++ b/havengrade_router/src/published/config_ports.rs
@@ -29,7 +29,7 @@
     kernel::Context,
     platform::VmList,
     published::{
-        dialect::OwnDialect,
+        dialect::HavengradeDialect,
         ports::{
             AnswerHead, Dialect, Feed, ForwardAttributes, NotDoneSnafu, OperatorEvent, Ports, QuarantineList,
             ReplacedVersion, RequestAttributes, RolloutStore, Roster, StoreError, WriteOutcome,
@@ -44,7 +44,7 @@
 /// Returns the ports of published routes over the configuration that a router's services replay.
 pub fn ports(cx: &Context) -> Ports {
     Ports {
-        dialect: Box::new(ConfigDialect { own: OwnDialect, shared: cx.shared.clone() }),
+        dialect: Box::new(ConfigDialect { own: HavengradeDialect, shared: cx.shared.clone() }),
         operators: Box::new(ConfigFeed::new(cx.shared.clone(), publication_event)),
         endpoints: Box::new(ConfigFeed::new(cx.shared.clone(), endpoints_event)),
         statuses: Box::new(NoRollouts),
@@ -59,7 +59,7 @@
 /// Callers may omit the id of their attempt, and their keys are looked up by digest, as accounts are configured.
 /// Endpoints neither echo the id nor sign their answers; if an endpoint echoes an id, it must be that of the request.
 struct ConfigDialect {
-    own: OwnDialect,
+    own: HavengradeDialect,
     shared: Arc<SharedState>,
 }
 
--- a/havengrade_router/src/published/connection_pool.rs
+++ b/havengrade_router/src/published/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to endpoints, each used for one request at a time.
+//! Pool of persistent connections to endpoints; each connection serves one request at a time.
 
 use std::{
     collections::HashMap,
@@ -26,37 +26,38 @@
     shared::lock,
 };
 
-/// Time for which an idle connection is kept where its endpoint names none.
+/// Idle timeout of a connection whose endpoint announces none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Part of an endpoint's own limit that a connection is left unused for, since the endpoint closes it then.
+/// Time before an endpoint's announced idle timeout from which its connection is not reused, since the endpoint may
+/// close it at any moment.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
-/// Idle connections that are kept for an endpoint.
+/// Largest number of idle connections to one endpoint.
 const MAX_IDLE_CONNECTIONS: usize = 6;
-/// Time in which a kept connection must be ready for the next request.
+/// Time in which an idle connection must become ready for the next request.
 const READY_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// Why a request got no answer's head.
+/// Why a request got no head of an answer.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum ConnectionError {
-    /// Nothing of the request was written.
+    /// No part of the request was written.
     #[snafu(display("not sent: {reason}"))]
     NotSent {
-        /// What is known of the cause.
+        /// Cause, as far as it is known.
         reason: String,
     },
-    /// The connection failed after something may have been written.
+    /// The connection failed after parts of the request may have been written.
     #[snafu(display("connection lost: {source}"))]
     Lost {
-        /// What the library says.
+        /// Error of the HTTP library.
         source: hyper::Error,
     },
-    /// The request was written, and no answer came in time.
+    /// The request was written, but no answer came in time.
     #[snafu(display("no answer in time"))]
     NoAnswer,
 }
 
-/// A connection to an endpoint; dropping it closes it, and ends the work on it.
+/// A connection to an endpoint. Dropping it closes the connection, which cancels a request in progress on it.
 pub struct EndpointConnection {
     sender: SendRequest<Full<Bytes>>,
     _driver: AbortOnDropHandle<()>,
@@ -74,7 +75,7 @@
             Ok(response) => return Ok(response),
             Err(error) => error,
         };
-        // The library gives back a request of which it wrote nothing.
+        // The HTTP library returns the request if it wrote no part of it.
         let is_unsent = error.take_message().is_some();
         let source = error.into_error();
         if is_unsent {
@@ -83,13 +84,13 @@
         Err(ConnectionError::Lost { source })
     }
 
-    /// Takes over the time for which the endpoint keeps an idle connection.
+    /// Sets the idle timeout that the endpoint announced, less a margin.
     pub fn set_idle_timeout(&mut self, idle_timeout: Duration) {
         self.idle_timeout = idle_timeout.saturating_sub(IDLE_TIMEOUT_MARGIN);
     }
 }
 
-/// Makes a connection that came about ready for requests.
+/// Prepares a new connection for HTTP/1.1 requests.
 async fn handshake(connection: BoxConnection, address: SocketAddr) -> Result<EndpointConnection, ConnectionError> {
     metrics::counter!("endpoint_connections_opened").increment(1);
     let (sender, driver) = match http1::handshake(TokioIo::new(connection)).await {
@@ -104,12 +105,13 @@
     Ok(EndpointConnection { sender, _driver: driver, idle_timeout: DEFAULT_IDLE_TIMEOUT })
 }
 
+/// A connection that waits for reuse.
 struct Idle {
     connection: EndpointConnection,
     since: SystemTime,
 }
 
-/// All kept connections.
+/// Pool of idle connections by endpoint; opens new ones on demand.
 pub struct ConnectionPool {
     network: Arc<dyn Network>,
     connect_timeout: Duration,
@@ -117,16 +119,16 @@
 }
 
 impl ConnectionPool {
-    /// No connections yet.
+    /// Creates an empty pool.
     pub fn new(network: Arc<dyn Network>, connect_timeout: Duration) -> Self {
         Self { network, connect_timeout, idle: Mutex::default() }
     }
 
-    /// A connection that is ready for a request: a kept one that rested for less than `max_idle`, or a new one.
+    /// Returns a connection that is ready for a request: one that was idle for less than `max_idle`, or a new one.
     ///
     /// # Errors
     ///
-    /// [`ConnectionError::NotSent`] where no connection came about.
+    /// [`ConnectionError::NotSent`] if no connection could be established.
     pub async fn acquire(
         &self,
         endpoint: &str,
@@ -154,7 +156,7 @@
         None
     }
 
-    /// Looks whether an endpoint is there; a connection that comes about is kept for the next request.
+    /// Probes an endpoint by connecting to it; the connection is kept for the next request.
     pub async fn probe(&self, endpoint: &str, address: SocketAddr, now: SystemTime) -> ProbeResult {
         let (found, connection) = probe(&*self.network, address, self.connect_timeout).await;
         if let Some(connection) = connection
@@ -174,7 +176,7 @@
         handshake(connection, address).await
     }
 
-    /// Keeps a connection whose answer was read to its end.
+    /// Returns a connection to the pool once its answer has been read to the end.
     pub fn release(&self, endpoint: &str, connection: EndpointConnection, now: SystemTime) {
         if connection.sender.is_closed() {
             return;
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Closes idle connections that rested too long and those to endpoints that are gone.
+    /// Closes idle connections past their idle timeout and those to endpoints that are no longer listed.
     pub fn prune(&self, is_listed: impl Fn(&str) -> bool, now: SystemTime) {
         let mut idle = lock(&self.idle);
         idle.retain(|endpoint, idle_connections| {
--- a/havengrade_router/src/published/framing.rs
+++ b/havengrade_router/src/published/framing.rs
@@ -1,8 +1,8 @@
-//! A caller's connection whose requests can be read in one way only.
+//! Detects ambiguous request framing on callers' connections, to prevent request smuggling.
 //!
-//! The HTTP library accepts heads in which the end of the body can be read in two ways, and takes bytes that
-//! come right behind a request for the next one. Either lets one request hide in another, so such a
-//! connection is marked; its request is refused, or it ends after the answer that it is at.
+//! The HTTP library accepts heads that allow two interpretations of the body's end, and treats bytes directly after a
+//! request as the next request. Both let one request hide in another. A connection with an ambiguous head is flagged,
+//! so that the request is refused; one with excess bytes is closed after the answer in progress.
 
 use std::{
     io,
@@ -18,16 +18,16 @@
 
 use crate::net::BoxConnection;
 
-/// Headers that are looked at; the HTTP library refuses more.
+/// Largest number of headers that is parsed; the HTTP library refuses more.
 const MAX_HEADERS: usize = 128;
 
-/// What was seen on a connection.
+/// Framing faults found on a connection, shared with its server.
 #[derive(Clone, Default)]
 pub(super) struct FramingFlags(Arc<AtomicU8>);
 
-/// A head can be read in two ways.
+/// Flag: the body of a request has no unambiguous end.
 const AMBIGUOUS_HEAD: u8 = 1;
-/// Bytes came right behind a request.
+/// Flag: bytes came directly after a request, before its answer.
 const EXCESS_BYTES: u8 = 2;
 
 impl FramingFlags {
@@ -35,18 +35,18 @@
         self.0.fetch_or(flag, Ordering::AcqRel);
     }
 
-    /// Whether a head could be read in two ways.
+    /// Whether the head of a request was ambiguous.
     pub(super) fn is_ambiguous(&self) -> bool {
         self.0.load(Ordering::Acquire) & AMBIGUOUS_HEAD != 0
     }
 
-    /// Whether the connection must end after the answer that it is at.
+    /// Whether the connection must be closed after the answer in progress.
     pub(super) fn must_close(&self) -> bool {
         self.0.load(Ordering::Acquire) != 0
     }
 }
 
-/// Where in a request the next byte stands.
+/// Position of the next byte in a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Position {
     Head,
@@ -61,15 +61,15 @@
         left: u64,
     },
     ChunkEnd,
-    /// In the lines after the last chunk; `line` bytes of the present one were read.
+    /// In the trailer after the last chunk; `line` bytes of the current line have been read.
     Trailer {
         line: usize,
     },
-    /// Nothing more is looked at.
+    /// Parsing has stopped.
     Unknown,
 }
 
-/// Follows the requests of a connection.
+/// Parses the framing of the requests on a connection.
 struct FramingParser {
     flags: FramingFlags,
     position: Position,
@@ -78,7 +78,7 @@
 }
 
 impl FramingParser {
-    /// Looks at bytes as they come; gives how many of them may be passed on.
+    /// Parses received bytes; returns how many of them the HTTP library may read.
     fn parse(&mut self, bytes: &[u8]) -> usize {
         let mut passed = 0;
         while let Some(rest) = bytes.get(passed..).filter(|rest| !rest.is_empty()) {
@@ -93,7 +93,7 @@
         passed
     }
 
-    /// Looks at some of the bytes; gives how many.
+    /// Parses some of the bytes; returns how many.
     fn parse_step(&mut self, bytes: &[u8]) -> usize {
         let first = bytes.first().copied().unwrap_or_default();
         match self.position {
@@ -123,7 +123,7 @@
         usize::try_from(skipped).unwrap_or(bytes.len())
     }
 
-    /// Gathers a head; once it is whole, finds out where its body ends.
+    /// Buffers a head; once it is complete, determines the framing of its body.
     fn read_head(&mut self, bytes: &[u8]) -> usize {
         let before = self.head.len();
         self.head.extend_from_slice(bytes);
@@ -147,7 +147,7 @@
         end - before
     }
 
-    /// The HTTP library refuses what is too long by itself.
+    /// Stops parsing after a head over the limit, which the HTTP library refuses by itself.
     fn stop_parsing(&mut self) {
         self.head.clear();
         self.position = Position::Unknown;
@@ -166,7 +166,7 @@
     }
 }
 
-/// Where the body of a head begins; none where its end can be read in two ways.
+/// Returns the position after a head, by the framing of its body; none if the framing is ambiguous.
 fn body_position(head: &[u8]) -> Option<Position> {
     if has_folded_lines(head) {
         return None;
@@ -174,7 +174,7 @@
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     if request.parse(head).is_err() {
-        // The HTTP library refuses it as well.
+        // The HTTP library refuses this head as well.
         return Some(Position::Unknown);
     }
     let values = |name: &str| {
@@ -194,7 +194,7 @@
     }
 }
 
-/// Whether a header line goes on in the next one.
+/// Whether a header value continues on the next line.
 fn has_folded_lines(head: &[u8]) -> bool {
     head.windows(2).any(|pair| matches!(pair, [b'\n', b' ' | b'\t']))
 }
@@ -204,14 +204,14 @@
     if is_plain { std::str::from_utf8(text).ok()?.parse().ok() } else { None }
 }
 
-/// A connection that is followed; bytes that come right behind a request are not passed on.
+/// A connection whose request framing is checked; bytes directly after a request are withheld from the HTTP library.
 pub(super) struct FramingCheckedConnection {
     connection: BoxConnection,
     parser: FramingParser,
 }
 
 impl FramingCheckedConnection {
-    /// Follows a connection whose heads may have so many bytes; gives what is seen on it, too.
+    /// Wraps a connection whose heads may have up to `max_head` bytes; also returns its flags.
     pub(super) fn new(connection: BoxConnection, max_head: usize) -> (Self, FramingFlags) {
         let flags = FramingFlags::default();
         let parser = FramingParser { flags: flags.clone(), position: Position::Head, head: Vec::new(), max_head };
@@ -225,7 +225,7 @@
         let before = buf.filled().len();
         let polled = Pin::new(&mut this.connection).poll_read(cx, buf);
         if this.parser.flags.0.load(Ordering::Acquire) & EXCESS_BYTES != 0 && buf.filled().len() > before {
-            // The connection ends with the answer that it is at; nothing more of it is read.
+            // The connection is closed after the answer in progress, so nothing more of it is read.
             buf.set_filled(before);
             return Poll::Pending;
         }
--- a/havengrade_router/src/published/rewrite.rs
+++ b/havengrade_router/src/published/rewrite.rs
@@ -1,4 +1,4 @@
-//! Heads on their way through the router: what belongs to one connection stays behind.
+//! Rewrites the heads of requests and answers that the router forwards; hop-by-hop headers are removed.
 
 use std::time::SystemTime;
 
@@ -13,7 +13,7 @@
 
 use crate::published::{active_request::ActiveRequest, context::PublishedContext, ports::ForwardAttributes};
 
-/// Headers that concern one connection only.
+/// Headers that apply to one connection only.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -25,7 +25,7 @@
     header::UPGRADE,
 ];
 
-/// The caller's request as it goes to an endpoint.
+/// Builds the request to an endpoint from that of the caller.
 pub(super) fn encode_request(
     cx: &PublishedContext,
     request: &ActiveRequest,
@@ -56,20 +56,21 @@
     outgoing
 }
 
+/// Removes hop-by-hop headers and those that `connection` lists.
 fn strip_hop_by_hop(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| HeaderName::try_from(name.trim()).ok())
         .collect();
-    for name in named.iter().chain(&HOP_BY_HOP) {
+    for name in listed.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
 }
 
-/// The head of an answer as it goes to the caller.
+/// Builds the head of the answer to the caller from that of the endpoint.
 pub(super) fn encode_answer_head(cx: &PublishedContext, mut head: response::Parts) -> response::Parts {
     strip_hop_by_hop(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
