--- a/havengrade_router/src/clock.rs
+++ b/havengrade_router/src/clock.rs
@@ -1,10 +1,10 @@
-//! The clock from which `now` is taken and handed to what decides.
+//! The clock that supplies `now` to all decisions.
 
 use std::time::SystemTime;
 
 use tokio::time::Instant;
 
-/// A clock that never goes back: the wall time at its start plus the time since.
+/// A monotonic clock: the wall time at its start plus the time elapsed since.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: SystemTime,
@@ -12,17 +12,17 @@
 }
 
 impl Clock {
-    /// A clock that shows `origin` now.
+    /// Creates a clock whose current time is `origin`.
     pub fn starting_at(origin: SystemTime) -> Self {
         Self { origin, start: Instant::now() }
     }
 
-    /// A clock that shows the machine's wall time.
+    /// Creates a clock that starts at the system's wall time.
     pub fn system() -> Self {
         Self::starting_at(SystemTime::now())
     }
 
-    /// The present time.
+    /// Current time.
     pub fn now(&self) -> SystemTime {
         self.origin + self.start.elapsed()
     }
--- a/havengrade_router/src/endpoints.rs
+++ b/havengrade_router/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints' states, shared between the threads without a lock.
+//! The endpoints' states, shared between threads without locks.
 
 use std::{
     collections::HashMap,
@@ -16,45 +16,45 @@
     published::signals::MAX_BACKOFF,
 };
 
-/// Time for which an endpoint is passed over that turned a request away: a queue gets shorter by some requests in it.
+/// Time without new requests after an endpoint rejects one; its queue shrinks by several requests in this time.
 const FIRST_REJECTION_PAUSE: Duration = Duration::from_millis(100);
-/// Most times that this is doubled.
+/// Maximum number of doublings of that time.
 const MAX_PAUSE_DOUBLINGS: u32 = 4;
 
-/// What an endpoint reported, or that it refused the connection.
+/// Result of asking an endpoint for its load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointReport {
-    /// It runs or has queued so many requests.
+    /// The endpoint reported its load.
     Load {
-        /// The requests.
+        /// Number of requests that run or are queued at the endpoint.
         load: u32,
-        /// Whether it is about to leave.
+        /// Whether the endpoint is shutting down.
         shutting_down: bool,
     },
-    /// It refused the connection.
+    /// The endpoint refused the connection.
     ConnectionRefused,
 }
 
-/// What is known of one endpoint; until there is a sign of it, it gets no work.
+/// State of one endpoint; until its first sign of life the endpoint counts as unresponsive and gets no requests.
 #[derive(Debug)]
 pub struct EndpointSlot {
     in_flight: AtomicU32,
-    /// Prompt tokens that requests of ours in progress there still have to read.
+    /// Prompt tokens of this VM's requests that the endpoint has not read yet.
     pending_prompt_tokens: AtomicU32,
     reported: AtomicU32,
     own_in_report: AtomicU32,
     is_shutting_down: AtomicBool,
     is_unresponsive: AtomicBool,
     failures: AtomicU32,
-    /// Milliseconds since the Unix epoch; 0 where it is not ejected.
+    /// End of the ejection in milliseconds since the Unix epoch; 0 if there was none.
     ejected_until: AtomicU64,
-    /// Rejections since it last took a request, each after it was passed over for the one before.
+    /// Rejections since the last success; those during an ejection don't count.
     rejections: AtomicU32,
-    /// Until when it asked for rest, in milliseconds since the Unix epoch; 0 for never.
+    /// End of the backoff that the endpoint requested, in milliseconds since the Unix epoch; 0 if there was none.
     backoff_until: AtomicU64,
-    /// When there was last a sign of it, in milliseconds since the Unix epoch; 0 for never.
+    /// Last sign of life in milliseconds since the Unix epoch; 0 if there was none.
     last_activity: AtomicU64,
-    /// When a look at it was last begun, in milliseconds since the Unix epoch; 0 for never.
+    /// Start of the last probe in milliseconds since the Unix epoch; 0 if there was none.
     last_probe: AtomicU64,
 }
 
@@ -77,13 +77,13 @@
     }
 }
 
-/// Milliseconds since the Unix epoch.
+/// Converts a time to milliseconds since the Unix epoch.
 pub(crate) fn to_millis(at: SystemTime) -> u64 {
     let since = at.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A time that was written as milliseconds since the Unix epoch; 0 is none.
+/// Converts milliseconds since the Unix epoch to a time; 0 stands for none.
 pub(crate) fn from_millis(millis: u64) -> Option<SystemTime> {
     (millis > 0).then(|| SystemTime::UNIX_EPOCH + Duration::from_millis(millis))
 }
@@ -101,78 +101,79 @@
         }
     }
 
-    /// Takes over a load report that was asked for when `own` requests of ours were there.
+    /// Records a load report; `own` is the number of this VM's requests at the endpoint when the report was requested.
     pub fn record_load(&self, load: u32, own: u32) {
         self.reported.store(load, Ordering::Relaxed);
         self.own_in_report.store(own.min(load), Ordering::Relaxed);
     }
 
-    /// Notes a sign of the endpoint.
+    /// Records a sign of life.
     pub fn record_activity(&self, now: SystemTime) {
         self.last_activity.fetch_max(to_millis(now), Ordering::Relaxed);
         self.is_unresponsive.store(false, Ordering::Relaxed);
     }
 
-    /// When there was last a sign of the endpoint.
+    /// Time of the last sign of life.
     pub fn last_activity(&self) -> Option<SystemTime> {
         from_millis(self.last_activity.load(Ordering::Relaxed))
     }
 
-    /// Begins a look at the endpoint, unless one was begun less than `pause` ago; tells whether it is to be made.
-    pub fn try_begin_probe(&self, pause: Duration, now: SystemTime) -> bool {
-        let is_due = |at: u64| from_millis(at).is_none_or(|at| now >= at + pause);
+    /// Records the start of a probe, unless the last one started less than `interval` ago; returns whether to probe.
+    pub fn try_begin_probe(&self, interval: Duration, now: SystemTime) -> bool {
+        let is_due = |at: u64| from_millis(at).is_none_or(|at| now >= at + interval);
         self.last_probe
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |at| is_due(at).then(|| to_millis(now)))
             .is_ok()
     }
 
-    /// Notes that the endpoint no longer reports.
+    /// Records that the endpoint no longer reports.
     pub fn mark_unresponsive(&self) {
         self.is_unresponsive.store(true, Ordering::Relaxed);
     }
 
-    /// Notes whether the endpoint is about to leave.
+    /// Sets whether the endpoint is shutting down.
     pub fn set_shutting_down(&self, shutting_down: bool) {
         self.is_shutting_down.store(shutting_down, Ordering::Relaxed);
     }
 
-    /// Requests of ours that are in progress there.
+    /// Number of this VM's requests in progress at the endpoint.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Prompt tokens that requests of ours in progress there still have to read.
+    /// Prompt tokens of this VM's requests that the endpoint has not read yet.
     pub fn pending_prompt_tokens(&self) -> u32 {
         self.pending_prompt_tokens.load(Ordering::Relaxed)
     }
 
-    /// Notes that the endpoint wants nothing from this VM for a time.
-    pub fn back_off(&self, rest: Duration, now: SystemTime) {
-        self.backoff_until.fetch_max(to_millis(now + rest.min(MAX_BACKOFF)), Ordering::Relaxed);
+    /// Records that the endpoint asks this VM to send no requests for a time.
+    pub fn back_off(&self, backoff: Duration, now: SystemTime) {
+        self.backoff_until.fetch_max(to_millis(now + backoff.min(MAX_BACKOFF)), Ordering::Relaxed);
     }
 
-    /// Notes that the endpoint turned a request away although it has room; it is passed over for a time, twice as long with each further one.
+    /// Records that the endpoint rejected a request although its load leaves room; it is ejected for a time that
+    /// doubles with each further rejection.
     ///
-    /// It has no work in progress and looks free, so that it would be the first choice for all that follows.
+    /// Without the ejection an endpoint that rejects requests would look idle and attract all further ones.
     pub fn record_rejection(&self, now: SystemTime) {
         let is_over = from_millis(self.ejected_until.load(Ordering::Relaxed)).is_none_or(|until| until <= now);
         if !is_over {
-            // Requests that were under way say no more than the first one.
+            // Rejections of requests that were already in flight carry no new information.
             return;
         }
-        let before = self.rejections.fetch_add(1, Ordering::Relaxed);
-        let pause = FIRST_REJECTION_PAUSE.saturating_mul(1 << before.min(MAX_PAUSE_DOUBLINGS));
-        self.ejected_until.store(to_millis(now + pause), Ordering::Relaxed);
+        let earlier = self.rejections.fetch_add(1, Ordering::Relaxed);
+        let ejection = FIRST_REJECTION_PAUSE.saturating_mul(1 << earlier.min(MAX_PAUSE_DOUBLINGS));
+        self.ejected_until.store(to_millis(now + ejection), Ordering::Relaxed);
     }
 
-    /// Notes a try that succeeded.
+    /// Records a successful attempt.
     pub fn record_success(&self, now: SystemTime) {
         self.failures.store(0, Ordering::Relaxed);
         self.rejections.store(0, Ordering::Relaxed);
         self.record_activity(now);
     }
 
-    /// Notes a try that failed; after `eject_after` in a row the endpoint is passed over for a time.
+    /// Records a failed attempt; `eject_after` failures in a row eject the endpoint for `eject_for`.
     pub fn record_failure(&self, eject_after: u32, eject_for: Duration, now: SystemTime) {
         let failures = self.failures.fetch_add(1, Ordering::Relaxed) + 1;
         if failures >= eject_after {
@@ -182,7 +183,7 @@
     }
 }
 
-/// A request in progress at an endpoint; it ends when this is dropped.
+/// Counts a request as in flight at an endpoint until it is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard {
     slot: Arc<EndpointSlot>,
@@ -190,7 +191,7 @@
 }
 
 impl InFlightGuard {
-    /// Notes that the endpoint has read the request's prompt.
+    /// Records that the endpoint has read the request's prompt.
     pub fn record_prompt_read(&mut self) {
         self.slot.pending_prompt_tokens.fetch_sub(std::mem::take(&mut self.pending_prompt_tokens), Ordering::Relaxed);
     }
@@ -203,31 +204,31 @@
     }
 }
 
-/// All endpoints of the configuration.
+/// States of all endpoints of the configuration.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     slots: ArcSwap<HashMap<EndpointId, Arc<EndpointSlot>>>,
 }
 
 impl EndpointTable {
-    /// Takes over the endpoints of a new configuration; known ones keep their state.
+    /// Replaces the set of endpoints by that of a new configuration; known endpoints keep their state.
     pub fn update_endpoints<'a>(&self, endpoints: impl Iterator<Item = &'a EndpointId>) {
         let known = self.slots.load();
-        let keep = |id: &EndpointId| (id.clone(), known.get(id).cloned().unwrap_or_default());
-        self.slots.store(Arc::new(endpoints.map(keep).collect()));
+        let slot_for = |id: &EndpointId| (id.clone(), known.get(id).cloned().unwrap_or_default());
+        self.slots.store(Arc::new(endpoints.map(slot_for).collect()));
     }
 
-    /// The slot of an endpoint.
+    /// State of an endpoint, if it is in the configuration.
     pub fn slot(&self, endpoint: &str) -> Option<Arc<EndpointSlot>> {
         self.slots.load().get(endpoint).cloned()
     }
 
-    /// Notes a request in progress at an endpoint.
+    /// Counts a request as in flight at an endpoint.
     pub fn begin_request(&self, endpoint: &str) -> InFlightGuard {
         self.begin_request_with_prompt(endpoint, 0)
     }
 
-    /// Notes a request in progress at an endpoint, which has to read so many prompt tokens.
+    /// Counts a request as in flight at an endpoint, with the prompt tokens that the endpoint has to read for it.
     pub fn begin_request_with_prompt(&self, endpoint: &str, pending_prompt_tokens: u32) -> InFlightGuard {
         let slot = self.slot(endpoint).unwrap_or_default();
         slot.in_flight.fetch_add(1, Ordering::Relaxed);
@@ -235,7 +236,7 @@
         InFlightGuard { slot, pending_prompt_tokens }
     }
 
-    /// Calls `look` with every endpoint.
+    /// Calls `visit` with every endpoint.
     pub fn for_each(&self, mut visit: impl FnMut(&EndpointId, &EndpointSlot)) {
         for (endpoint, slot) in self.slots.load().iter() {
             visit(endpoint, slot);
--- a/havengrade_router/src/http.rs
+++ b/havengrade_router/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client that all outside systems are called through.
+//! HTTP client for calls to endpoints, platform services and other programs.
 
 use std::{
     future::Future,
@@ -30,74 +30,74 @@
 
 use crate::net::{BoxConnection, Network};
 
-/// Why a call failed.
+/// A failed call.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum HttpError {
-    /// No connection came about, so nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     #[snafu(display("no connection to {address}: {source}"))]
     NotSent {
-        /// The other side.
+        /// Address of the server.
         address: SocketAddr,
-        /// What the client says.
+        /// Error of the HTTP client.
         source: ClientError,
     },
-    /// The connection failed after something may have been sent.
+    /// The connection was lost after part of the request may have been sent.
     #[snafu(display("connection to {address} lost: {source}"))]
     Lost {
-        /// The other side.
+        /// Address of the server.
         address: SocketAddr,
-        /// What the client says.
+        /// Error of the HTTP client.
         source: ClientError,
     },
-    /// The body of the answer broke off or was too long.
+    /// The body of the answer was cut off, too long or malformed.
     #[snafu(display("answer of {address} broke off: {reason}"))]
     InvalidBody {
-        /// The other side.
+        /// Address of the server.
         address: SocketAddr,
-        /// What was wrong.
+        /// Description of the fault.
         reason: String,
     },
-    /// No answer came in time.
+    /// No complete answer arrived within the time limit.
     #[snafu(display("no answer of {address} in time"))]
     TimedOut {
-        /// The other side.
+        /// Address of the server.
         address: SocketAddr,
     },
-    /// The answer was not what was asked for.
+    /// The answer has another status than 200.
     #[snafu(display("{address} answered {status}: {body}"))]
     UnexpectedStatus {
-        /// The other side.
+        /// Address of the server.
         address: SocketAddr,
         /// Status of the answer.
         status: u16,
-        /// Its body.
+        /// Body of the answer.
         body: String,
     },
 }
 
 impl HttpError {
-    /// Whether the call surely never reached the other side.
+    /// Whether it is certain that nothing was sent.
     pub fn is_known_not_sent(&self) -> bool {
         matches!(self, Self::NotSent { .. })
     }
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// Status of the answer.
     pub status: u16,
-    /// Content type of the answer; empty where it names none.
+    /// Content type of the answer; empty if there is none.
     pub content_type: String,
-    /// All its headers.
+    /// Headers of the answer.
     pub headers: HeaderMap,
     /// Body of the answer.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// The body of an answer with status 200.
+    /// Returns the body of an answer with status 200.
     ///
     /// # Errors
     ///
@@ -111,12 +111,12 @@
     }
 }
 
-/// A GET of a URI that we built ourselves.
+/// Creates a GET request; an invalid URI is replaced by the default one.
 pub fn get(uri: &str) -> Request<Full<Bytes>> {
     build(Method::GET, uri, Full::default())
 }
 
-/// A POST of JSON to a URI that we built ourselves.
+/// Creates a POST request with a JSON body; an invalid URI is replaced by the default one.
 pub fn post(uri: &str, json: String) -> Request<Full<Bytes>> {
     build(Method::POST, uri, Full::from(json))
 }
@@ -129,24 +129,24 @@
     request
 }
 
-/// An HTTP client.
+/// An HTTP client with one connection pool and the option to bypass it.
 #[derive(Clone)]
 pub struct HttpClient {
     pooled: Client<Connector, Full<Bytes>>,
     fresh: Client<Connector, Full<Bytes>>,
 }
 
-/// Whether a call may go over a connection that was used before.
+/// Whether a call may use an open connection of the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionReuse {
-    /// It may.
+    /// The call may reuse a connection.
     Allowed,
-    /// It gets a new connection, so that "no connection" proves that nothing was sent.
+    /// The call opens a new connection, so that a failure to connect proves that nothing was sent.
     Never,
 }
 
 impl HttpClient {
-    /// A client over a network that waits up to `connect_timeout` for a connection.
+    /// Creates a client over a network; each connection must open within `connect_timeout`.
     pub fn new(network: Arc<dyn Network>, connect_timeout: Duration) -> Self {
         let connector = Connector { network, connect_timeout };
         let client = |max_idle| {
@@ -156,10 +156,10 @@
                 .retry_canceled_requests(max_idle > 0)
                 .build(connector.clone())
         };
-        Self { pooled: client(MAX_IDLE), fresh: client(0) }
+        Self { pooled: client(MAX_IDLE_CONNECTIONS), fresh: client(0) }
     }
 
-    /// Sends a request and gives the head of its answer, with a body still to be read.
+    /// Sends a request and returns the head of the answer with an unread body.
     ///
     /// # Errors
     ///
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Sends a request and reads its whole answer, of up to `max_body` bytes, within the time limit.
+    /// Sends a request and reads the complete answer, with a body of up to `max_body` bytes, within `limit`.
     ///
     /// # Errors
     ///
@@ -198,7 +198,7 @@
         limit: Duration,
         max_body: usize,
     ) -> Result<Answer, HttpError> {
-        let whole = async {
+        let exchange = async {
             let response = self.send(address, request, reuse, limit).await?;
             let (head, body) = response.into_parts();
             let collected = Limited::new(body, max_body).collect().await;
@@ -207,14 +207,14 @@
             let content_type = content_type.and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
             Ok(Answer { status: head.status.as_u16(), content_type, headers: head.headers, body: collected.to_bytes() })
         };
-        timeout(limit, whole).await.unwrap_or_else(|_| TimedOutSnafu { address }.fail())
+        timeout(limit, exchange).await.unwrap_or_else(|_| TimedOutSnafu { address }.fail())
     }
 }
 
-/// Connections that are kept for an address.
-const MAX_IDLE: usize = 64;
+/// Maximum number of idle connections for each address.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// Makes connections for the client.
+/// Opens connections for the client.
 #[derive(Clone)]
 struct Connector {
     network: Arc<dyn Network>,
--- a/havengrade_router/src/kernel.rs
+++ b/havengrade_router/src/kernel.rs
@@ -1,4 +1,4 @@
-//! The micro-kernel: starts services in order, knows them by name only, stops them in reverse.
+//! Microkernel that starts the services in order, finds them by name and stops them in reverse order.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,7 +9,7 @@
 
 use crate::{net::Network, platform, shared::SharedState};
 
-/// Why a router did not start.
+/// A failure to start a router.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StartError {
@@ -18,7 +18,7 @@
     Spawn {
         /// Name of the service.
         name: &'static str,
-        /// What the actor library says.
+        /// Error of the actor library.
         source: SpawnErr,
     },
     /// A port could not be opened.
@@ -26,57 +26,57 @@
     Bind {
         /// Key of the setting.
         key: &'static str,
-        /// The address.
+        /// Address to listen on.
         address: std::net::SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A setting that is needed has no value.
+    /// A required setting has no value.
     #[snafu(display("{key} is not set; give it a value"))]
     Unset {
         /// Key of the setting.
         key: &'static str,
     },
-    /// A service that another one needs is not there.
-    #[snafu(display("service {name} is not there"))]
+    /// A required service is not running.
+    #[snafu(display("required service {name} is not running"))]
     Missing {
         /// Name of the service.
         name: &'static str,
     },
 }
 
-/// What every service is given.
+/// State and clients that all services share.
 #[derive(Clone)]
 pub struct Context {
-    /// State shared with traffic.
+    /// State shared with the traffic threads.
     pub shared: Arc<SharedState>,
-    /// The network.
+    /// Network for all connections.
     pub network: Arc<dyn Network>,
-    /// The platform's log.
+    /// The platform's log service.
     pub log: Arc<dyn platform::LogService>,
     /// The platform's VM list.
     pub vm_list: Arc<dyn platform::VmList>,
-    /// The rating service, where there is one.
+    /// The rating service, if one is enabled.
     pub rating: Option<Arc<dyn platform::RatingService>>,
     /// The HTTP client for endpoints.
     pub http: crate::http::HttpClient,
-    /// Ends the tasks of traffic.
+    /// Cancelled to abort all traffic tasks.
     pub forced_shutdown: CancellationToken,
-    /// Makes callers' connections end with the answer that they are at.
+    /// Cancelled to close callers' connections after their current answers.
     pub graceful_shutdown: CancellationToken,
-    /// Callers' connections.
+    /// Tasks that serve callers' connections.
     pub tracked_tasks: TaskTracker,
-    /// Number of the router within the process, since the registry of actors is the process's.
+    /// Number of the router within the process, which makes its actors' names unique in the global registry.
     pub router_number: u64,
 }
 
 impl Context {
-    /// Finds a service of this VM by its name.
+    /// Finds the actor of a service of this router by the name of the service.
     pub fn find<M: Message>(&self, name: &str) -> Option<ActorRef<M>> {
         registry::where_is(self.actor_name(name)).map(ActorRef::from)
     }
 
-    /// Starts a task of traffic, which ends at the latest when the router does.
+    /// Spawns a traffic task, which is aborted on a forced shutdown.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let forced_shutdown = self.forced_shutdown.clone();
         tokio::spawn(async move {
@@ -85,9 +85,9 @@
     }
 }
 
-/// What services are given, and what tells the routers of one process apart.
+/// Context that is passed to services and tells the routers of one process apart.
 pub trait ServiceContext: Clone + Send + Sync + 'static {
-    /// The name under which a service's actor is registered; the registry is global to the process.
+    /// Name of a service's actor in the registry, which is global to the process.
     fn actor_name(&self, service: &str) -> String;
 }
 
@@ -100,20 +100,20 @@
 /// A service of the control thread.
 #[async_trait]
 pub trait Service<C: ServiceContext = Context>: Send {
-    /// Name under which others find it.
+    /// Name by which other services find this one.
     fn name(&self) -> &'static str;
 
-    /// Starts its actor.
+    /// Starts the service's actor.
     async fn start(&self, cx: &C) -> Result<ActorCell, StartError>;
 }
 
-/// A service that is an actor and needs nothing but the context.
+/// A service whose actor takes the context as its only argument.
 struct ActorService<A> {
     name: &'static str,
     make: fn() -> A,
 }
 
-/// A service whose actor is given the context and nothing else.
+/// Creates a service whose actor takes the context as its only argument.
 pub(crate) fn service<C, A>(name: &'static str, make: fn() -> A) -> Box<dyn Service<C>>
 where
     C: ServiceContext,
@@ -133,21 +133,21 @@
     }
 }
 
-/// The services that have been started.
+/// The running services, in the order of their start.
 #[derive(Default)]
 pub struct Kernel {
     running: Vec<(&'static str, ActorCell)>,
 }
 
-/// Time that a service has to stop.
+/// Time for a service to stop before it is killed.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Kernel {
-    /// Starts services in order; on failure those that run are stopped again.
+    /// Starts services in order; after a failure, those already started are stopped.
     ///
     /// # Errors
     ///
-    /// [`StartError`] of the first service that did not start.
+    /// [`StartError`] of the first service that fails to start.
     pub async fn start<C: ServiceContext>(services: Vec<Box<dyn Service<C>>>, cx: &C) -> Result<Self, StartError> {
         let mut kernel = Self::default();
         for service in services {
@@ -172,13 +172,13 @@
         }
     }
 
-    /// Ends the services at once, as a crash would.
+    /// Kills the services immediately, as a crash would.
     pub fn kill(&mut self) {
         self.running.drain(..).for_each(|(_, actor)| actor.kill());
     }
 }
 
-/// Starts an actor under its service's name.
+/// Starts an actor and registers it under the name of its service.
 pub(crate) async fn spawn<C: ServiceContext, A: ractor::Actor>(
     name: &'static str,
     cx: &C,
--- a/havengrade_router/src/launch.rs
+++ b/havengrade_router/src/launch.rs
@@ -1,4 +1,4 @@
-//! What the programs of the router share: settings, threads, signals and exit codes.
+//! Launch of the router programs: settings, runtimes, signals and exit codes.
 
 use std::{convert::Infallible, io, path::Path, process::ExitCode, thread, time::Duration};
 
@@ -14,27 +14,27 @@
     settings::{Settings, SettingsFile, changed_keys},
 };
 
-/// The router did not start.
+/// Exit code of a router that failed to start.
 pub const EXIT_NOT_STARTED: u8 = 1;
-/// The settings have faults.
+/// Exit code for invalid settings.
 pub const EXIT_FAULTY_SETTINGS: u8 = 3;
-/// The planned stop reached its limit.
+/// Exit code of a planned stop that reached its time limit.
 pub const EXIT_DRAIN_TIMEOUT: u8 = 4;
-/// A second signal cut the planned stop short.
+/// Exit code of a planned stop that a second signal cut short.
 pub const EXIT_FORCED: u8 = 5;
 
-/// Time between two looks at whether the settings file has changed without a signal.
+/// Interval at which the settings file is checked for changes without a signal.
 const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The settings that a program starts with, and the file that they came from.
+/// The initial settings of a program with their file.
 pub struct LaunchSettings {
-    /// The settings.
+    /// Settings read from the file.
     pub settings: Settings,
-    /// Their file.
+    /// Settings file.
     pub file: SettingsFile,
 }
 
-/// Does what the options say; `serve` runs on this thread, with another runtime for traffic at its side.
+/// Runs a program with its command line options; `serve` runs on this thread and gets a second runtime for traffic.
 pub fn launch(options: &Options, serve: impl AsyncFnOnce(LaunchSettings, &Handle) -> ExitCode) -> ExitCode {
     if options.print_defaults {
         print!("{}", Settings::default_toml());
@@ -56,7 +56,7 @@
     run(LaunchSettings { settings, file }, serve)
 }
 
-/// Runs traffic on threads of its own and everything else on this one.
+/// Starts the traffic runtime on its own threads and runs everything else on this thread.
 fn run(start: LaunchSettings, serve: impl AsyncFnOnce(LaunchSettings, &Handle) -> ExitCode) -> ExitCode {
     let mut traffic = Builder::new_multi_thread();
     traffic.enable_all().thread_name("traffic");
@@ -65,32 +65,32 @@
     }
     let control = Builder::new_current_thread().enable_all().build();
     let (Ok(traffic), Ok(control)) = (traffic.build(), control) else {
-        log::error!("the threads could not be started");
+        log::error!("failed to create the async runtimes");
         return ExitCode::from(EXIT_NOT_STARTED);
     };
     let code = control.block_on(serve(start, traffic.handle()));
-    // Traffic may still write to callers who are slow; it is not waited for.
+    // Traffic may still be writing to slow callers, so the shutdown of its runtime does not block the exit.
     thread::spawn(move || drop(traffic));
     code
 }
 
-/// The signals by which a router is told to stop.
+/// Receiver of the signals that stop a router.
 pub struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl StopSignals {
-    /// Begins to receive them.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// Those of the system, where signals can't be received.
+    /// The error of the operating system if a handler can't be installed.
     pub fn new() -> io::Result<Self> {
         Ok(Self { terminate: signal(SignalKind::terminate())?, interrupt: signal(SignalKind::interrupt())? })
     }
 
-    /// Waits for the next one.
+    /// Waits for the next signal.
     pub async fn next(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {},
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The first signal begins a planned stop; the second ends it at once.
+    /// Calls `begin` at the first signal to begin a planned stop; the second signal ends the stop immediately.
     pub async fn wait_for_forced_stop(&mut self, begin: impl FnOnce()) -> ExitCode {
         self.next().await;
         begin();
@@ -107,15 +107,15 @@
     }
 }
 
-/// Exit code of a planned stop by whether everything ended in time.
+/// Returns the exit code of a planned stop by whether all requests ended in time.
 pub fn drain_exit_code(is_complete: bool) -> ExitCode {
     if is_complete { ExitCode::SUCCESS } else { ExitCode::from(EXIT_DRAIN_TIMEOUT) }
 }
 
-/// Reads the settings file again at each signal to reload, and now and then, since it may change without one.
+/// Reloads the settings file at each reload signal and when a periodic check finds it changed.
 ///
-/// `take` is given settings without faults; faulty ones are logged, and what is in force stays.
-pub async fn watch_settings(start: &mut LaunchSettings, mut hangup: Signal, take: impl Fn(&Settings)) -> Infallible {
+/// `apply` is called with valid settings only. Invalid ones are logged, and the current settings stay active.
+pub async fn watch_settings(start: &mut LaunchSettings, mut hangup: Signal, apply: impl Fn(&Settings)) -> Infallible {
     loop {
         let is_signal = tokio::select! {
             _ = hangup.recv() => true,
@@ -123,21 +123,21 @@
         };
         match start.file.reload() {
             Ok(Some(settings)) => {
-                log_differences(&start.settings, &settings);
+                log_changes(&start.settings, &settings);
                 logging::set_level(&settings.logging);
-                take(&settings);
+                apply(&settings);
                 start.settings = settings;
             },
-            Ok(None) if is_signal => log::info!("signal to reload: the settings are the same"),
+            Ok(None) if is_signal => log::info!("received a reload signal; settings are unchanged"),
             Ok(None) => {},
-            Err(error) => log::error!("the settings in force stay: {error}"),
+            Err(error) => log::error!("failed to reload the settings; keeping the current ones: {error}"),
         }
     }
 }
 
-fn log_differences(old: &Settings, new: &Settings) {
+fn log_changes(old: &Settings, new: &Settings) {
     for (key, is_live) in changed_keys(old, new) {
-        let effect = if is_live { "now" } else { "with the next start" };
-        log::info!(key = key.as_str(); "setting changed, it takes effect {effect}");
+        let effect = if is_live { "now" } else { "at the next start" };
+        log::info!(key = key.as_str(); "setting changed; takes effect {effect}");
     }
 }
--- a/havengrade_router/src/lib.rs
+++ b/havengrade_router/src/lib.rs
@@ -1,4 +1,5 @@
-//! The router: a small kernel, services that find each other by name, and the traffic between callers and endpoints.
+//! The router: a microkernel, control services that find each other by name, and the traffic between callers and
+//! endpoints.
 
 #![deny(clippy::all, clippy::if_not_else, clippy::enum_glob_use)]
 #![cfg_attr(test, allow(clippy::unwrap_used))]
--- a/havengrade_router/src/logging.rs
+++ b/havengrade_router/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines on standard output, through a bounded queue that never makes anyone wait.
+//! Logging as JSON lines on standard output through a bounded queue that never blocks the caller.
 
 use std::{
     io::{self, Write},
@@ -20,12 +20,12 @@
 
 use crate::settings::LoggingSettings;
 
-/// Lines that are written out together.
+/// Maximum number of lines in one write.
 const MAX_BATCH: usize = 64;
-/// Time over which lines are counted for the limit on their rate.
+/// Window in which lines are counted for the rate limit.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Writes records of the set level and above, each with the name of the VM.
+/// Installs the logger, which writes records of the configured level and above, each with the id of the VM.
 pub fn init(settings: &LoggingSettings, vm: &str) {
     let (tx, rx) = sync_channel(settings.queue_lines);
     let dropped = Arc::new(AtomicU64::new(0));
@@ -35,38 +35,38 @@
         write_lines(&rx, &dropped, limit, &Instant::now, &mut io::stdout());
     });
     if let Err(error) = spawned {
-        eprintln!("no thread for logs: {error}");
+        eprintln!("failed to start the log thread: {error}");
         return;
     }
     let vm = vm.to_owned();
     let builder = Builder::new()
-        // The level in force is the one below, which may change while the program runs.
+        // The level is filtered by `log::set_max_level`, which can change while the program runs.
         .filter_level(LevelFilter::Trace)
         .target(Target::Pipe(Box::new(writer)))
         .format(move |f, record| {
-            let line = line(record, &vm, SystemTime::now());
+            let line = format_record(record, &vm, SystemTime::now());
             writeln!(f, "{line}")
         })
         .try_init();
     if builder.is_err() {
-        eprintln!("logs are written by another logger");
+        eprintln!("another logger is already installed");
     }
     set_level(settings);
 }
 
-/// Puts the set level in force.
+/// Applies the configured log level.
 pub fn set_level(settings: &LoggingSettings) {
     log::set_max_level(settings.level.parse().unwrap_or(LevelFilter::Info));
 }
 
-/// Hands lines to the thread that writes them; a line that finds the queue full is dropped and counted.
+/// Queues lines for the log thread; a line is dropped and counted if the queue is full.
 pub struct LineWriter {
     tx: SyncSender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
 }
 
 impl LineWriter {
-    /// A writer with room for so many lines, what it hands on, and the count of what it drops.
+    /// Creates a writer with a queue of `lines` lines, the receiver of the queue and the counter of dropped lines.
     pub fn new(lines: usize) -> (Self, Receiver<Vec<u8>>, Arc<AtomicU64>) {
         let (tx, rx) = sync_channel(lines);
         let dropped = Arc::new(AtomicU64::new(0));
@@ -88,18 +88,18 @@
     }
 }
 
-/// Lines of the present second.
-struct Rate {
-    began: Instant,
+/// Rate limiter that counts the lines of the current window.
+struct RateLimiter {
+    window_start: Instant,
     lines: u64,
     max_lines_per_s: u64,
 }
 
-impl Rate {
-    /// Counts a line; tells whether it may be written.
-    fn allows(&mut self, now: Instant) -> bool {
-        if now.duration_since(self.began) >= RATE_WINDOW {
-            self.began = now;
+impl RateLimiter {
+    /// Counts a line; returns whether it may be written.
+    fn try_acquire(&mut self, now: Instant) -> bool {
+        if now.duration_since(self.window_start) >= RATE_WINDOW {
+            self.window_start = now;
             self.lines = 0;
         }
         self.lines += 1;
@@ -107,8 +107,9 @@
     }
 }
 
-/// Writes lines out, at most so many a second by `clock`, until nobody hands any on; tells of those that were
-/// dropped.
+/// Writes queued lines, at most `max_lines_per_s` per second of `clock`, until all senders are dropped.
+///
+/// Adds a line with the number of dropped lines after lines were dropped.
 pub fn write_lines(
     rx: &Receiver<Vec<u8>>,
     dropped: &AtomicU64,
@@ -116,43 +117,43 @@
     clock: &dyn Fn() -> Instant,
     out: &mut dyn Write,
 ) {
-    let mut rate = Rate { began: clock(), lines: 0, max_lines_per_s };
-    let mut told = 0;
+    let mut rate_limiter = RateLimiter { window_start: clock(), lines: 0, max_lines_per_s };
+    let mut reported = 0;
     while let Ok(first) = rx.recv() {
         let now = clock();
         let mut batch = Vec::new();
         for line in std::iter::once(first).chain(rx.try_iter().take(MAX_BATCH - 1)) {
-            if rate.allows(now) {
+            if rate_limiter.try_acquire(now) {
                 batch.extend_from_slice(&line);
             } else {
                 dropped.fetch_add(1, Ordering::Relaxed);
             }
         }
-        let lost = dropped.load(Ordering::Relaxed);
-        if lost > told && !batch.is_empty() {
-            let line = json!({ "level": "WARN", "message": "log lines dropped", "dropped": lost - told });
+        let total = dropped.load(Ordering::Relaxed);
+        if total > reported && !batch.is_empty() {
+            let line = json!({ "level": "WARN", "message": "log lines dropped", "dropped": total - reported });
             batch.extend_from_slice(format!("{line}\n").as_bytes());
-            told = lost;
+            reported = total;
         }
-        // Where standard output is gone there is nobody left to tell.
+        // Once standard output is closed there is no place left to report the error.
         let _ = out.write_all(&batch).and_then(|()| out.flush());
     }
 }
 
-/// One line of the log.
-fn line(record: &log::Record<'_>, vm: &str, now: SystemTime) -> serde_json::Value {
+/// Formats a record as one line of the log.
+fn format_record(record: &log::Record<'_>, vm: &str, now: SystemTime) -> serde_json::Value {
     let since: Duration = now.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let mut fields = Fields(Map::new());
     fields.0.insert("unix_ms".into(), json!(u64::try_from(since.as_millis()).unwrap_or(u64::MAX)));
     fields.0.insert("level".into(), json!(record.level().as_str()));
     fields.0.insert("vm".into(), json!(vm));
     fields.0.insert("message".into(), json!(record.args().to_string()));
-    // A field that can't be written is left out; the rest of the line is worth more than an error.
+    // A field that can't be formatted is left out so that the rest of the line is still logged.
     let _ = record.key_values().visit(&mut fields);
     serde_json::Value::Object(fields.0)
 }
 
-/// Collects the fields of a record.
+/// Collector of the fields of a record.
 struct Fields(Map<String, serde_json::Value>);
 
 impl<'kvs> VisitSource<'kvs> for Fields {
--- a/havengrade_router/src/main.rs
+++ b/havengrade_router/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `havengrade-router`.
+//! The `havengrade-router` program.
 
 use std::{process::ExitCode, sync::Arc, time::SystemTime};
 
@@ -22,15 +22,15 @@
 
 async fn serve(mut start: LaunchSettings, traffic: &Handle) -> ExitCode {
     let (Ok(mut signals), Ok(hangup)) = (StopSignals::new(), signal(SignalKind::hangup())) else {
-        log::error!("signals can't be received");
+        log::error!("signal handlers can't be installed");
         return ExitCode::from(EXIT_NOT_STARTED);
     };
-    let parts = RouterEnvironment {
+    let environment = RouterEnvironment {
         network: Arc::new(SystemNetwork),
         clock: Clock::starting_at(SystemTime::now()),
         seed: rand::rng().next_u64(),
     };
-    let router = match Router::start(start.settings.clone(), parts, traffic).await {
+    let router = match Router::start(start.settings.clone(), environment, traffic).await {
         Ok(router) => router,
         Err(error) => {
             log::error!("{error}");
--- a/havengrade_router/src/metrics.rs
+++ b/havengrade_router/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The process's metrics, rendered for whoever collects them.
+//! Recorder of the process's metrics, rendered for a metrics collector.
 
 use std::sync::OnceLock;
 
@@ -12,13 +12,13 @@
         let recorder = PrometheusBuilder::new().build_recorder();
         let handle = recorder.handle();
         if metrics::set_global_recorder(recorder).is_err() {
-            log::warn!("another recorder of metrics was installed before ours");
+            log::warn!("another metrics recorder is already installed");
         }
         handle
     });
 }
 
-/// All metrics in the text format of Prometheus; empty where none are recorded.
+/// Renders all metrics in the Prometheus text format; empty if no recorder is installed.
 pub fn render() -> String {
     HANDLE.get().map_or_else(String::new, |handle| {
         handle.run_upkeep();
--- a/havengrade_router/src/net.rs
+++ b/havengrade_router/src/net.rs
@@ -1,4 +1,4 @@
-//! The network as a trait object, so that tests can put a small fake in its place.
+//! The network as a trait object that tests can replace by an in-memory one.
 
 use std::{io, net::SocketAddr, sync::Arc};
 
@@ -8,7 +8,7 @@
     net::{TcpListener, TcpStream, UdpSocket},
 };
 
-/// A connection, whatever carries it.
+/// A byte stream to another program, independent of its transport.
 pub trait Connection: AsyncRead + AsyncWrite + Send + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin> Connection for T {}
@@ -16,42 +16,42 @@
 /// A connection as a trait object.
 pub type BoxConnection = Box<dyn Connection>;
 
-/// Something that accepts connections.
+/// A listening socket.
 #[async_trait]
 pub trait Listener: Send {
     /// Waits for the next connection.
     async fn accept(&mut self) -> io::Result<BoxConnection>;
 
-    /// Where it listens.
+    /// Address of the listening socket.
     fn local_address(&self) -> io::Result<SocketAddr>;
 }
 
-/// A socket for datagrams, which may be lost on their way.
+/// A datagram socket; datagrams may be lost in transit.
 #[async_trait]
 pub trait DatagramSocket: Send + Sync {
     /// Sends one datagram.
     async fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()>;
 
-    /// Waits for the next datagram and writes it into `buf`; gives its length.
+    /// Waits for the next datagram, writes it into `buf` and returns its length.
     async fn receive(&self, buf: &mut [u8]) -> io::Result<usize>;
 }
 
-/// Something that makes and accepts connections.
+/// A network that opens and accepts connections.
 #[async_trait]
 pub trait Network: Send + Sync {
     /// Connects to an address.
     async fn connect(&self, to: SocketAddr) -> io::Result<BoxConnection>;
 
-    /// Listens at an address.
+    /// Opens a listening socket at an address.
     async fn bind(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>>;
 
-    /// Opens a socket for datagrams.
+    /// Opens a datagram socket at an address.
     async fn bind_datagrams(&self, _at: SocketAddr) -> io::Result<Arc<dyn DatagramSocket>> {
-        Err(io::Error::new(io::ErrorKind::Unsupported, "this network carries no datagrams"))
+        Err(io::Error::new(io::ErrorKind::Unsupported, "this network does not support datagrams"))
     }
 }
 
-/// The machine's TCP.
+/// The network of the operating system: TCP connections and UDP datagrams.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemNetwork;
 
--- a/havengrade_router/src/router.rs
+++ b/havengrade_router/src/router.rs
@@ -1,4 +1,4 @@
-//! A router as a whole: its services on the control thread and its traffic on others.
+//! The complete router: control services on one thread and traffic on others.
 
 use std::{
     sync::{
@@ -42,40 +42,40 @@
     traffic,
 };
 
-/// Time between two looks at whether a planned stop is over.
+/// Interval at which a planned stop checks for unfinished work.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time that callers have to read the answers that they were given.
+/// Time for callers to read their answers before their connections are closed.
 const CONNECTION_CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Routers that were started in this process.
+/// Number of routers started in this process.
 static ROUTER_COUNT: AtomicU64 = AtomicU64::new(0);
 
-/// What a router is built of besides its settings.
+/// Network, clock and random seed of a router.
 pub struct RouterEnvironment {
-    /// The network.
+    /// Network for all connections.
     pub network: Arc<dyn Network>,
-    /// The clock.
+    /// Clock of the router.
     pub clock: Clock,
-    /// Seed of the random numbers; each run of a process needs another.
+    /// Seed of the random number generator, which must differ between runs of the process.
     pub seed: u64,
 }
 
-/// A router that runs.
+/// A running router.
 pub struct Router {
     cx: Context,
     kernel: Kernel,
     server: AbortOnDropHandle<()>,
-    /// Serves published routes, where the settings ask for it.
+    /// Router of published routes, if the settings enable it.
     published: Option<PublishedRouter>,
 }
 
 impl Router {
-    /// Starts a router: services in the runtime that this is called in, traffic in `traffic`.
+    /// Starts a router with its services in the current runtime and its traffic in `traffic`.
     ///
     /// # Errors
     ///
-    /// [`StartError`] where a port can't be opened or a service does not start.
+    /// [`StartError`] if a port can't be opened or a service does not start.
     pub async fn start(
         settings: Settings,
         environment: RouterEnvironment,
@@ -98,21 +98,21 @@
         Ok(Self { cx, kernel, server, published })
     }
 
-    /// What the router's services share.
+    /// Context of the router's services.
     pub fn context(&self) -> &Context {
         &self.cx
     }
 
-    /// Takes over the settings that take effect while the router runs.
+    /// Applies the settings that take effect without a restart.
     pub fn reload(&self, settings: &Settings) {
         if let Some(published) = &self.published {
             published.reload(settings);
         }
     }
 
-    /// Waits until a planned stop, begun by a signal or an operator, has let everything end.
+    /// Waits for the end of a planned stop, which a signal or an operator begins.
     ///
-    /// Tells whether all requests in progress ended before the limit.
+    /// Returns whether all requests in progress ended before the limit.
     pub async fn wait_for_drain(&self) -> bool {
         match &self.published {
             Some(published) => {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Requests in progress, and one more while something is still to be written to the log.
+    /// Number of requests in progress, plus one while records wait to be written to the log.
     async fn unfinished_count(&self) -> usize {
         let in_progress = self.cx.shared.requests.in_progress();
         let (Some(ledger), Some(bills)) = (self.cx.find(ledger::NAME), self.cx.find(bills::NAME)) else {
@@ -159,13 +159,13 @@
         in_progress + usize::from(has_unwritten)
     }
 
-    /// Stops the router in order; callers' connections end with the answer that they are at.
+    /// Stops the router gracefully; each caller's connection closes after its current answer.
     pub async fn stop(self) {
         drop(self.server);
         self.cx.graceful_shutdown.cancel();
         self.cx.tracked_tasks.close();
         if timeout(CONNECTION_CLOSE_TIMEOUT, self.cx.tracked_tasks.wait()).await.is_err() {
-            log::warn!(vm = self.cx.shared.vm().as_str(); "callers read too slowly, their connections are cut");
+            log::warn!(vm = self.cx.shared.vm().as_str(); "closing connections of callers that read too slowly");
         }
         if let Some(published) = self.published {
             published.stop().await;
@@ -175,7 +175,7 @@
         log::info!(vm = self.cx.shared.vm().as_str(); "router stopped");
     }
 
-    /// Ends the router at once, as a crash would.
+    /// Stops the router immediately, as a crash would.
     pub fn kill(mut self) {
         self.cx.forced_shutdown.cancel();
         self.kernel.kill();
@@ -201,12 +201,13 @@
 fn context(settings: Settings, environment: RouterEnvironment) -> Context {
     let connect_timeout = Duration::from_millis(settings.endpoints.connect_timeout_ms);
     let http = HttpClient::new(environment.network.clone(), connect_timeout);
-    let log_limit = Duration::from_millis(settings.log_service.timeout_ms);
-    let log: Arc<dyn LogService> = Arc::new(HttpLogService::new(http.clone(), settings.log_service.address, log_limit));
-    let vm_list: Arc<dyn VmList> = Arc::new(HttpVmList::new(http.clone(), settings.vm_list.address, log_limit));
-    let rating_limit = Duration::from_millis(settings.rating.timeout_ms);
+    let log_timeout = Duration::from_millis(settings.log_service.timeout_ms);
+    let log: Arc<dyn LogService> =
+        Arc::new(HttpLogService::new(http.clone(), settings.log_service.address, log_timeout));
+    let vm_list: Arc<dyn VmList> = Arc::new(HttpVmList::new(http.clone(), settings.vm_list.address, log_timeout));
+    let rating_timeout = Duration::from_millis(settings.rating.timeout_ms);
     let rating: Option<Arc<dyn RatingService>> = settings.rating.enabled.then(|| {
-        let rating = HttpRatingService::new(http.clone(), settings.rating.address, rating_limit);
+        let rating = HttpRatingService::new(http.clone(), settings.rating.address, rating_timeout);
         Arc::new(rating) as Arc<dyn RatingService>
     });
     let shared = Arc::new(SharedState::new(Arc::new(settings), environment.clock, environment.seed));
--- a/havengrade_router/src/shared.rs
+++ b/havengrade_router/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the control thread publishes and traffic reads.
+//! State that the control thread publishes and the traffic threads read.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -30,45 +30,45 @@
     traffic::RequestTable,
 };
 
-/// What is known about the age of the configuration in force.
+/// Evidence that the active configuration is the newest.
 #[derive(Clone, Copy, Debug)]
 pub struct Freshness {
-    /// When nothing newer existed, as far as is known.
+    /// Latest time at which this configuration was the newest.
     pub confirmed_at: SystemTime,
-    /// Until when a majority of VMs, none of which knows anything newer, counts as heard.
+    /// Time until which heartbeats count from a majority of VMs, none of which has a newer configuration.
     pub majority_confirmed_until: SystemTime,
-    /// Whether the newest known offset has been reached once.
+    /// Whether the replay has reached the newest known offset since the start.
     pub is_caught_up: bool,
 }
 
-/// Why new requests are refused.
+/// Reason for refusing new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotServingReason {
-    /// The VM has not caught up with the configuration, or has not looked at the endpoints yet.
+    /// The VM has not caught up with the configuration or has not probed the endpoints yet.
     Starting,
-    /// The VM can't know whether its configuration is the newest.
+    /// The VM can't confirm that its configuration is the newest.
     StaleConfig,
-    /// The VM is about to stop.
+    /// A planned stop is in progress.
     Draining,
-    /// Too many bills wait for the log service.
+    /// Too many bills wait to be appended to the log service.
     TooManyWaitingBills,
 }
 
-/// State that is shared between the control thread and traffic.
+/// State shared between the control thread and the traffic threads.
 pub struct SharedState {
     /// Settings of the router.
     pub settings: Arc<Settings>,
-    /// Run of this process.
+    /// Random identifier of this run of the process.
     pub incarnation: Incarnation,
-    /// The clock.
+    /// Clock of the router.
     pub clock: Clock,
-    /// Configuration in force.
+    /// Active configuration.
     pub catalog: ArcSwap<Catalog>,
-    /// Evidence of all VMs.
+    /// Sum of the roll-out evidence of all VMs.
     pub evidence: ArcSwap<EvidenceTotals>,
     /// States of the endpoints.
     pub endpoints: EndpointTable,
-    /// Requests in progress and kept answers.
+    /// Requests in progress and retained answers.
     pub requests: RequestTable,
     freshness: ArcSwap<Freshness>,
     admission: Mutex<Admission>,
@@ -87,7 +87,7 @@
 }
 
 impl SharedState {
-    /// The state of a router that has just started.
+    /// Creates the state of a router that has just started.
     pub fn new(settings: Arc<Settings>, clock: Clock, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let freshness = Freshness {
@@ -96,7 +96,7 @@
             is_caught_up: false,
         };
         Self {
-            // The sign is given up so that ids pass through the schema's signed integers.
+            // The schema has signed integers only, so the top bit stays clear.
             incarnation: rng.next_u64() >> 1,
             clock,
             catalog: ArcSwap::default(),
@@ -121,12 +121,12 @@
         }
     }
 
-    /// Name of this VM.
+    /// Id of this VM.
     pub fn vm(&self) -> &VmId {
         &self.settings.vm.id
     }
 
-    /// Why new requests are refused now, if they are.
+    /// Reason for refusing new requests now; none if they are accepted.
     pub fn not_serving_reason(&self, now: SystemTime) -> Option<NotServingReason> {
         let freshness = self.freshness.load();
         if self.is_draining.load(Ordering::Acquire) {
@@ -142,25 +142,25 @@
         is_full.then_some(NotServingReason::TooManyWaitingBills)
     }
 
-    /// Whether the configuration may be relied on now.
+    /// Whether the configuration is recent enough to serve requests.
     pub fn is_fresh(&self, now: SystemTime) -> bool {
         let freshness = self.freshness.load();
         let max_staleness = Duration::from_millis(self.settings.peers.max_staleness_ms);
-        let hears_majority = freshness.majority_confirmed_until > now;
-        freshness.is_caught_up && membership::may_serve(self.staleness(now), hears_majority, max_staleness)
+        let has_majority = freshness.majority_confirmed_until > now;
+        freshness.is_caught_up && membership::may_serve(self.staleness(now), has_majority, max_staleness)
     }
 
-    /// When nothing newer than the configuration in force existed for sure.
+    /// Latest time at which the active configuration was the newest.
     pub fn config_confirmed_at(&self) -> SystemTime {
         self.freshness.load().confirmed_at
     }
 
-    /// How long ago nothing newer than the configuration in force existed for sure.
+    /// Time since the active configuration was last confirmed as the newest.
     pub fn staleness(&self, now: SystemTime) -> Duration {
         now.duration_since(self.config_confirmed_at()).unwrap_or_default()
     }
 
-    /// Notes that nothing newer existed at `at`.
+    /// Records that the active configuration was the newest at `at`.
     pub fn confirm_config(&self, at: SystemTime) {
         self.freshness.rcu(|known| Freshness {
             confirmed_at: known.confirmed_at.max(at),
@@ -169,27 +169,27 @@
         });
     }
 
-    /// Notes until when a majority counts as heard.
+    /// Sets the time until which a majority of VMs confirms the configuration.
     pub fn set_majority_confirmed_until(&self, until: SystemTime) {
         self.freshness.rcu(|known| Freshness { majority_confirmed_until: until, ..**known });
     }
 
-    /// Notes that the newest offset that a majority knows has been reached.
+    /// Records that the replay has reached the newest offset known to a majority.
     pub fn set_caught_up(&self) {
         self.freshness.rcu(|known| Freshness { is_caught_up: true, ..**known });
     }
 
-    /// Whether the newest offset has been reached once.
+    /// Whether the replay has reached the newest known offset since the start.
     pub fn is_caught_up(&self) -> bool {
         self.freshness.load().is_caught_up
     }
 
-    /// Notes that the endpoints have been asked for a first sign.
+    /// Records that the first probe of the endpoints is complete.
     pub fn set_endpoints_probed(&self) {
         self.are_endpoints_probed.store(true, Ordering::Release);
     }
 
-    /// Begins a planned stop; tells whether it is the first call.
+    /// Begins a planned stop; returns whether this is the first call.
     pub fn start_drain(&self) -> bool {
         !self.is_draining.swap(true, Ordering::AcqRel)
     }
@@ -199,104 +199,104 @@
         self.is_draining.load(Ordering::Acquire)
     }
 
-    /// Notes whether the log service answers.
+    /// Sets whether the log service answers.
     pub fn set_log_reachable(&self, reachable: bool) {
         self.is_log_reachable.store(reachable, Ordering::Relaxed);
     }
 
-    /// Whether the log service answered when it was last called.
+    /// Whether the log service answered the last call.
     pub fn is_log_reachable(&self) -> bool {
         self.is_log_reachable.load(Ordering::Relaxed)
     }
 
-    /// Notes which VMs live, this one among them, in the order of their names.
+    /// Sets the live VMs, including this one, sorted by id.
     pub fn set_live_vms(&self, vms: Vec<VmId>) {
         self.live_vms.store(Arc::new(vms));
     }
 
-    /// VMs that live, in the order of their names.
+    /// Live VMs, including this one, sorted by id.
     pub fn live_vms(&self) -> Arc<Vec<VmId>> {
         self.live_vms.load_full()
     }
 
-    /// Live VMs that share the limits of client accounts and of the log service.
+    /// Number of live VMs, among which the limits of client accounts and of the log service are divided.
     pub fn live_vm_count(&self) -> u32 {
         u32::try_from(self.live_vms.load().len()).unwrap_or(u32::MAX).max(1)
     }
 
-    /// Notes an endpoint's report for the next heartbeat.
+    /// Adds an endpoint's report to the next heartbeat.
     pub fn record_endpoint_report(&self, endpoint: EndpointId, report: EndpointReport) {
         lock(&self.endpoint_reports).insert(endpoint, report);
     }
 
-    /// Takes the reports since the last call.
+    /// Takes the endpoint reports recorded since the last call.
     pub fn take_endpoint_reports(&self) -> BTreeMap<EndpointId, EndpointReport> {
         std::mem::take(&mut *lock(&self.endpoint_reports))
     }
 
-    /// Notes that so many records more, or fewer, wait for the log service.
+    /// Adjusts the number of waiting bills by the change of one queue from `before` to `after`.
     pub fn adjust_waiting_bills(&self, before: usize, after: usize) {
         self.waiting_bills.fetch_add(after.wrapping_sub(before), Ordering::Relaxed);
     }
 
-    /// Bills that wait for the log service.
+    /// Number of bills that wait to be appended to the log service.
     pub fn waiting_bills(&self) -> usize {
         self.waiting_bills.load(Ordering::Relaxed)
     }
 
-    /// Notes up to which offset the configuration has been replayed.
+    /// Sets the offset of the next configuration record to replay.
     pub fn set_config_next(&self, next: Offset) {
         self.config_next.store(next, Ordering::Release);
     }
 
-    /// Offset up to which the configuration has been replayed.
+    /// Offset of the next configuration record to replay.
     pub fn config_next(&self) -> Offset {
         self.config_next.load(Ordering::Acquire)
     }
 
-    /// The limits of client accounts, locked for a moment.
+    /// Locks the limits of client accounts.
     pub fn admission(&self) -> MutexGuard<'_, Admission> {
         lock(&self.admission)
     }
 
-    /// What is known of requests that crash endpoints, locked for a moment.
+    /// Locks the quarantine of requests that crash endpoints.
     pub fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
         lock(&self.quarantine)
     }
 
-    /// The retry budget, locked for a moment.
+    /// Locks the retry budget.
     pub fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
         lock(&self.retry_budget)
     }
 
-    /// Takes an append to the log out of this VM's share, or tells how long to wait for one.
+    /// Acquires one append to the log service from this VM's share of the append rate.
     ///
     /// # Errors
     ///
-    /// The time after which there will be one.
+    /// The time until an append becomes available.
     pub fn try_acquire_append(&self, now: SystemTime) -> Result<(), Duration> {
         let share = f64::from(self.settings.log_service.appends_per_second) / f64::from(self.live_vm_count());
         lock(&self.append_budget).try_acquire(share, now)
     }
 
-    /// Notes how a version answered; it waits here, summed up, until the control thread takes it.
-    pub fn record_evidence(&self, subject: TallyKey, tally: Tally) {
-        let mut seen = lock(&self.pending_evidence);
-        let sum = seen.entry(subject).or_default();
+    /// Adds a tally to the evidence that the control thread takes next.
+    pub fn record_evidence(&self, key: TallyKey, tally: Tally) {
+        let mut pending = lock(&self.pending_evidence);
+        let sum = pending.entry(key).or_default();
         *sum = sum.plus(&tally);
     }
 
-    /// Takes what was noted since the last call.
+    /// Takes the evidence recorded since the last call.
     pub fn take_evidence(&self) -> HashMap<TallyKey, Tally> {
         std::mem::take(&mut *lock(&self.pending_evidence))
     }
 
-    /// The random numbers, locked for a moment.
+    /// Locks the random number generator.
     pub fn rng(&self) -> MutexGuard<'_, ChaCha8Rng> {
         lock(&self.rng)
     }
 
-    /// A new id for a request, which carries the name of this VM.
+    /// Generates a request id that begins with the id of this VM.
     pub fn new_request_id(&self) -> String {
         let mut bytes = [0; 16];
         self.rng().fill_bytes(&mut bytes);
@@ -305,7 +305,7 @@
     }
 }
 
-/// Locks a mutex; the state behind ours is whole even after a panic.
+/// Locks a mutex, even a poisoned one: no panic leaves the state behind these mutexes inconsistent.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
