--- a/havengrade_router/src/logging.rs
+++ b/havengrade_router/src/logging.rs
@@ -21,7 +21,7 @@
 use crate::settings::LoggingSettings;
 
 /// Maximum number of lines in one write.
-const MAX_BATCH: usize = 64;
+const MAX_BATCH_LINES: usize = 64;
 /// Window in which lines are counted for the rate limit.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
@@ -122,7 +122,7 @@
     while let Ok(first) = rx.recv() {
         let now = clock();
         let mut batch = Vec::new();
-        for line in std::iter::once(first).chain(rx.try_iter().take(MAX_BATCH - 1)) {
+        for line in std::iter::once(first).chain(rx.try_iter().take(MAX_BATCH_LINES - 1)) {
             if rate_limiter.try_acquire(now) {
                 batch.extend_from_slice(&line);
             } else {
--- a/havengrade_router/src/settings/mod.rs
+++ b/havengrade_router/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of the router, one file a section.
+//! Settings of the router, read from a TOML file.
 
 mod parse;
 mod reload;
@@ -21,7 +21,7 @@
 pub struct Settings {
     /// The VM itself.
     pub vm: VmSettings,
-    /// Where the router listens.
+    /// Addresses on which the router listens.
     pub listen: ListenSettings,
     /// The platform's log service.
     pub log_service: LogServiceSettings,
@@ -31,7 +31,7 @@
     pub rating: RatingSettings,
     /// Limits on what callers and peers may send.
     pub limits: LimitSettings,
-    /// Claims on requests that may not be repeated.
+    /// Claims on requests that must not run twice.
     pub claims: ClaimSettings,
     /// The other VMs.
     pub peers: PeerSettings,
@@ -41,14 +41,14 @@
     pub published: PublishedSettings,
     /// Planned stops.
     pub drain: DrainSettings,
-    /// Logs.
+    /// Logging.
     pub logging: LoggingSettings,
-    /// Who may call the operators' port.
+    /// Operators with access to the operators' port.
     pub operators: Vec<Operator>,
 }
 
 impl Settings {
-    /// The defaults as a settings file.
+    /// Returns the default settings as the text of a settings file.
     ///
     /// ```
     /// use havengrade_router::settings::{self, Settings};
--- a/havengrade_router/src/settings/parse.rs
+++ b/havengrade_router/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! Reading of a settings file: all faults are found together, each with its key, value and remedy.
+//! Parsing and validation of settings: all faults are reported together, each with its key, value and remedy.
 
 use std::{collections::BTreeSet, fmt};
 
@@ -11,11 +11,11 @@
 /// A fault of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsFault {
-    /// Key at fault, with its section.
+    /// Invalid key with its section.
     pub key: String,
-    /// Value that stands there.
+    /// Value of the key.
     pub value: String,
-    /// What is wrong and what to do about it.
+    /// Description of the fault and its remedy.
     pub remedy: String,
 }
 
@@ -25,24 +25,24 @@
     }
 }
 
-/// Why a settings file can't be used.
+/// An unusable settings file.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
-    /// The file is not TOML.
+    /// The file is not valid TOML.
     #[snafu(display("settings: {source}"))]
     Malformed {
-        /// What the TOML reader says.
+        /// Error of the TOML parser.
         source: toml::de::Error,
     },
-    /// The file has faults.
+    /// Some keys or values are invalid.
     #[snafu(display("settings: {}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\nsettings: ")))]
     Faulty {
-        /// All of them.
+        /// All faults of the file.
         faults: Vec<SettingsFault>,
     },
 }
 
-/// Reads settings; what a file leaves out takes its default.
+/// Parses settings; keys that the text omits take their defaults.
 ///
 /// # Errors
 ///
@@ -61,9 +61,9 @@
     for (section, value) in &table {
         merge(&defaults, &mut merged, section, value, &mut faults);
     }
-    // What could not be merged has its default there, so the rest is still checked.
+    // Invalid values are left at their defaults so that the remaining ones can still be validated.
     let settings = Settings::deserialize_table(merged).unwrap_or_default();
-    faults.extend(impossible(&settings));
+    faults.extend(validate(&settings));
     ensure!(faults.is_empty(), FaultySnafu { faults });
     Ok(settings)
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Takes a section over key by key, so that each key's fault is found by itself.
+/// Merges a section key by key so that each fault is attributed to its key.
 fn merge(defaults: &Table, merged: &mut Table, section: &str, value: &Value, faults: &mut Vec<SettingsFault>) {
     let Value::Table(keys) = value else {
         return merge_value(defaults, merged, &[section], value, faults);
@@ -88,9 +88,9 @@
 }
 
 fn merge_value(defaults: &Table, merged: &mut Table, path: &[&str], value: &Value, faults: &mut Vec<SettingsFault>) {
-    let mut alone = defaults.clone();
-    set(&mut alone, path, value.clone());
-    match Settings::deserialize_table(alone) {
+    let mut candidate = defaults.clone();
+    set(&mut candidate, path, value.clone());
+    match Settings::deserialize_table(candidate) {
         Ok(_) => set(merged, path, value.clone()),
         Err(error) => {
             faults.push(SettingsFault {
@@ -121,8 +121,8 @@
     }
 }
 
-/// Values that can be read but can't be meant.
-fn impossible(settings: &Settings) -> Vec<SettingsFault> {
+/// Finds values of the right type that make no sense.
+fn validate(settings: &Settings) -> Vec<SettingsFault> {
     let mut faults = Vec::new();
     check_zeros(settings, &mut faults);
     check_ports(settings, &mut faults);
@@ -133,7 +133,7 @@
 }
 
 fn check_zeros(settings: &Settings, faults: &mut Vec<SettingsFault>) {
-    /// Keys for which 0 has a meaning.
+    /// Keys for which 0 is a valid value.
     const MAY_BE_ZERO: [&str; 4] =
         ["vm.traffic_threads", "rating.sample", "claims.batch_window_ms", "endpoints.retry_percent"];
     let table = Table::try_from(settings).unwrap_or_default();
@@ -167,7 +167,7 @@
     }
 }
 
-/// Most retries for each request that can be meant; more would multiply an overload.
+/// Upper bound for the retry ratio; more retries for each request would multiply an overload.
 const MAX_RETRY_RATIO: f64 = 10.0;
 
 fn check_published(settings: &Settings, faults: &mut Vec<SettingsFault>) {
@@ -176,9 +176,9 @@
         ("published.max_trial_share", published.max_trial_share, 1.0),
         ("published.retry_ratio", published.retry_ratio, MAX_RETRY_RATIO),
     ];
-    for (key, value, most) in ranges {
-        if !(0.0..=most).contains(&value) {
-            let remedy = format!("must be from 0 to {most}");
+    for (key, value, max) in ranges {
+        if !(0.0..=max).contains(&value) {
+            let remedy = format!("must be from 0 to {max}");
             faults.push(SettingsFault { key: key.into(), value: value.to_string(), remedy });
         }
     }
@@ -200,9 +200,9 @@
         ("peers.heartbeat_ms", settings.peers.heartbeat_ms, "peers.silence_ms", settings.peers.silence_ms),
         ("endpoints.report_ms", settings.endpoints.report_ms, "endpoints.silence_ms", settings.endpoints.silence_ms),
     ];
-    for (key, value, over, limit) in pairs {
+    for (key, value, limit_key, limit) in pairs {
         if value >= limit {
-            let remedy = format!("must be less than {over}, which is {limit}");
+            let remedy = format!("must be less than {limit_key}, which is {limit}");
             faults.push(SettingsFault { key: key.into(), value: value.to_string(), remedy });
         }
     }
--- a/havengrade_router/src/settings/reload.rs
+++ b/havengrade_router/src/settings/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that are read again while a program runs.
+//! Reloading of settings while a program runs.
 
 use std::{
     fs, io,
@@ -10,7 +10,7 @@
 
 use crate::settings::{Settings, SettingsError, parse};
 
-/// Keys that take effect while a program runs; all others do so with the next start.
+/// Keys that take effect without a restart; all others take effect at the next start.
 const LIVE_KEYS: [&str; 9] = [
     "logging.level",
     "published.config_wait_ms",
@@ -23,26 +23,26 @@
     "published.grace_s",
 ];
 
-/// Why a settings file was not taken over.
+/// A failure to load a settings file.
 #[derive(Debug, Snafu)]
 pub enum SettingsFileError {
     /// The file can't be read.
     #[snafu(display("--settings {}: {source}; name a file that can be read", path.display()))]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// It holds faults.
+    /// The file has faults.
     #[snafu(display("{source}"))]
     Faulty {
-        /// All of them.
+        /// Error with all faults of the file.
         source: SettingsError,
     },
 }
 
-/// A settings file, and the text that was read last.
+/// A settings file with the text last read from it.
 #[derive(Debug)]
 pub struct SettingsFile {
     path: PathBuf,
@@ -50,22 +50,22 @@
 }
 
 impl SettingsFile {
-    /// Reads a file for the first time.
+    /// Opens a settings file and reads its settings.
     ///
     /// # Errors
     ///
-    /// [`SettingsFileError`] where it can't be read or holds faults.
+    /// [`SettingsFileError`] if the file can't be read or has faults.
     pub fn open(path: &Path) -> Result<(Self, Settings), SettingsFileError> {
         let text = fs::read_to_string(path).context(UnreadableSnafu { path })?;
         let settings = parse(&text).context(FaultySnafu)?;
         Ok((Self { path: path.to_owned(), text }, settings))
     }
 
-    /// Reads the file again; none where its text is the same as before.
+    /// Reads the file again; returns none if its text is unchanged.
     ///
     /// # Errors
     ///
-    /// [`SettingsFileError`] where it can't be read or holds faults; a faulty text is named once only.
+    /// [`SettingsFileError`] if the file can't be read or has faults; the faults of a text are reported only once.
     pub fn reload(&mut self) -> Result<Option<Settings>, SettingsFileError> {
         let text = fs::read_to_string(&self.path).context(UnreadableSnafu { path: &self.path })?;
         if text == self.text {
@@ -76,7 +76,7 @@
     }
 }
 
-/// Keys whose values differ, and whether each takes effect without a restart.
+/// Returns the keys whose values differ, each with whether it takes effect without a restart.
 ///
 /// ```
 /// use havengrade_router::settings::{Settings, changed_keys};
@@ -84,11 +84,11 @@
 /// let mut new = Settings::default();
 /// new.published.withdrawal_ms = 4000;
 /// new.vm.id = "vm-9".into();
-/// let found = changed_keys(&Settings::default(), &new);
-/// assert_eq!(found, [("published.withdrawal_ms".to_owned(), true), ("vm.id".to_owned(), false)]);
+/// let changed = changed_keys(&Settings::default(), &new);
+/// assert_eq!(changed, [("published.withdrawal_ms".to_owned(), true), ("vm.id".to_owned(), false)]);
 /// ```
 pub fn changed_keys(old: &Settings, new: &Settings) -> Vec<(String, bool)> {
-    let (old, new) = (keys(old), keys(new));
+    let (old, new) = (flatten(old), flatten(new));
     let mut all: Vec<&String> = old.keys().chain(new.keys()).collect();
     all.sort_unstable();
     all.dedup();
@@ -96,8 +96,8 @@
     differing.map(|key| (key.clone(), LIVE_KEYS.contains(&key.as_str()))).collect()
 }
 
-/// All keys with their sections, and their values.
-fn keys(settings: &Settings) -> Table {
+/// Maps all keys, with their sections, to their values.
+fn flatten(settings: &Settings) -> Table {
     let table = Table::try_from(settings).unwrap_or_default();
     let mut flat = Table::new();
     for (section, value) in table {
--- a/havengrade_router/src/settings/sections.rs
+++ b/havengrade_router/src/settings/sections.rs
@@ -1,4 +1,4 @@
-//! The sections of the settings, each a plain struct with its defaults.
+//! Sections of the settings with their defaults.
 
 use std::net::SocketAddr;
 
@@ -12,11 +12,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct VmSettings {
-    /// Name of the VM, as the VM list shows it.
+    /// Id of the VM in the VM list.
     pub id: VmId,
-    /// Failure domain in which it stands.
+    /// Failure domain of the VM.
     pub failure_domain: DomainId,
-    /// Threads for traffic; 0 takes one a core.
+    /// Number of traffic threads; 0 for one per core.
     pub traffic_threads: usize,
 }
 
@@ -26,15 +26,15 @@
     }
 }
 
-/// Where the router listens.
+/// Addresses on which the router listens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ListenSettings {
-    /// IP number and port for callers.
+    /// IP address and port for callers.
     pub callers: SocketAddr,
-    /// IP number and port for operators.
+    /// IP address and port for operators.
     pub operators: SocketAddr,
-    /// IP number and port for the other VMs.
+    /// IP address and port for the other VMs.
     pub peers: SocketAddr,
 }
 
@@ -52,17 +52,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogServiceSettings {
-    /// IP number and port at which it answers.
+    /// IP address and port of the service.
     pub address: SocketAddr,
-    /// Time for which it keeps records, in seconds.
+    /// Retention time of records, in seconds.
     pub retention_s: u64,
-    /// Time for which a read waits for new records, in milliseconds.
+    /// Maximum time for which a read waits for new records, in milliseconds.
     pub read_wait_ms: u64,
-    /// Time after which a call counts as failed, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     pub timeout_ms: u64,
-    /// Records of the configuration after which a snapshot is written.
+    /// Number of configuration records between snapshots.
     pub snapshot_every: u64,
-    /// Appends that it takes from all VMs together, in a second.
+    /// Maximum number of appends per second, over all VMs.
     pub appends_per_second: u32,
 }
 
@@ -83,9 +83,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct VmListSettings {
-    /// IP number and port at which it answers.
+    /// IP address and port of the service.
     pub address: SocketAddr,
-    /// Time between two reads, in milliseconds.
+    /// Interval between reads, in milliseconds.
     pub poll_ms: u64,
 }
 
@@ -99,13 +99,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RatingSettings {
-    /// Whether answers are rated at all.
+    /// Whether answers are rated.
     pub enabled: bool,
-    /// IP number and port at which the service answers.
+    /// IP address and port of the service.
     pub address: SocketAddr,
-    /// Share of the answers that are sent to be rated, in thousandths.
+    /// Share of answers that are sent to the rating service, in thousandths.
     pub sample: Permille,
-    /// Time after which a rating counts as not given, in milliseconds.
+    /// Timeout of a rating, in milliseconds.
     pub timeout_ms: u64,
 }
 
@@ -119,21 +119,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Largest sum of a request's headers, in bytes.
+    /// Maximum total size of a request's headers, in bytes.
     pub max_header_bytes: usize,
-    /// Time in which a request must have been read, in milliseconds.
+    /// Maximum time for reading a request, in milliseconds.
     pub read_timeout_ms: u64,
-    /// Most requests in progress.
+    /// Maximum number of requests in progress.
     pub max_requests: usize,
-    /// Largest answer that is stored with its outcome, in bytes.
+    /// Maximum size of an answer that is stored with its outcome, in bytes.
     pub max_stored_answer_bytes: usize,
-    /// Answers that are kept for callers who come for them later.
+    /// Maximum number of answers retained for callers who fetch them later.
     pub max_kept_answers: usize,
-    /// Largest frame from a peer or an operator, in bytes.
+    /// Maximum size of a frame from a peer or an operator, in bytes.
     pub max_frame_bytes: usize,
-    /// Bills that may wait for the log service before new work is refused.
+    /// Number of bills waiting for the log service at which new requests are refused.
     pub max_waiting_bills: usize,
 }
 
@@ -152,17 +152,17 @@
     }
 }
 
-/// Claims on requests that may not be repeated.
+/// Claims on requests that must not run twice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClaimSettings {
-    /// Least time for which records are gathered before they are appended together, in milliseconds.
+    /// Minimum time for which records are collected before they are appended as a batch, in milliseconds.
     pub batch_window_ms: u64,
-    /// Time after which a claim that has not been read back is given up, in milliseconds.
+    /// Timeout for reading a claim back from the log, in milliseconds.
     pub deadline_ms: u64,
-    /// Time for which keys and outcomes are remembered, in seconds.
+    /// Time for which idempotency keys and outcomes are retained, in seconds.
     pub horizon_s: u64,
-    /// Time after which an unsettled claim of a VM that is gone is settled as "may have run", in seconds.
+    /// Time after which an unsettled claim of a lost VM is settled as "may have run", in seconds.
     pub abandoned_s: u64,
 }
 
@@ -176,15 +176,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PeerSettings {
-    /// Time between two heartbeats, in milliseconds.
+    /// Interval between heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Most VMs that a heartbeat is sent to at once.
+    /// Maximum number of VMs to which each heartbeat is sent.
     pub fan_out: usize,
-    /// Time after which a VM that is not heard from counts as gone, in milliseconds.
+    /// Time without a heartbeat after which a VM counts as lost, in milliseconds.
     pub silence_ms: u64,
-    /// Time for which a VM serves without knowing that its configuration is the newest, in milliseconds.
+    /// Maximum time for which a VM serves requests without confirmation that its configuration is the newest, in
+    /// milliseconds.
     pub max_staleness_ms: u64,
-    /// VMs that hold a bill while the log service is away, in other failure domains first.
+    /// Number of VMs that hold a copy of a bill while the log service is unreachable, other failure domains first.
     pub bill_copies: usize,
 }
 
@@ -198,21 +199,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EndpointSettings {
-    /// Time between two looks at an endpoint's load by the VM whose turn it is, in milliseconds.
+    /// Interval between load reports of an endpoint, each requested by one of the VMs in turn, in milliseconds.
     pub report_ms: u64,
-    /// Time after which an endpoint that does not report counts as gone, in milliseconds.
+    /// Time without a report after which an endpoint counts as unresponsive, in milliseconds.
     pub silence_ms: u64,
-    /// Time in which a connection must stand, in milliseconds.
+    /// Timeout for opening a connection, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// Time without a sign of a stream after which it is resumed, in milliseconds.
+    /// Time without data after which a stream counts as stalled and is resumed, in milliseconds.
     pub stall_ms: u64,
-    /// Tries in a row that may fail before an endpoint is passed over.
+    /// Number of failed attempts in a row after which an endpoint is ejected.
     pub eject_after: u32,
-    /// Time for which it is passed over then, in milliseconds.
+    /// Time for which an endpoint stays ejected, in milliseconds.
     pub eject_ms: u64,
-    /// Endpoints that a request may try.
+    /// Maximum number of endpoints to which a request is sent, one after another.
     pub max_tries: u32,
-    /// Retries that a hundred first tries pay for.
+    /// Number of retries allowed for each hundred first attempts.
     pub retry_percent: u32,
 }
 
@@ -231,38 +232,37 @@
     }
 }
 
-/// Published routes: existing HTTP traffic that passes through unchanged.
+/// Published routes, which forward existing HTTP traffic unchanged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PublishedSettings {
-    /// IP number and port for callers of published routes; where it is left out, none are served.
+    /// IP address and port for callers of published routes; none are served if it is absent.
     pub callers: Option<SocketAddr>,
-    /// IP number and port at which a balancer asks whether this VM takes connections.
+    /// IP address and port at which load balancers check the readiness of this VM.
     pub readiness: SocketAddr,
-    /// IP number and port at which metrics are served.
+    /// IP address and port at which metrics are served.
     pub metrics: SocketAddr,
-    /// IP number and port of the store that holds configuration and endpoints.
+    /// IP address and port of the store of configuration and endpoints.
     pub store: SocketAddr,
-    /// Whether the whole deployment starts for the first time, so that no VM is on the kept list yet.
+    /// Whether the whole deployment starts for the first time, with no VM in the stored list yet.
     pub is_first_start: bool,
-    /// Time for which a change of the configuration is waited for in one call, in milliseconds.
+    /// Maximum time for which one call waits for a configuration change, in milliseconds.
     pub config_wait_ms: u64,
-    /// Time between two reads of the list of endpoints, in milliseconds.
+    /// Interval between reads of the endpoint list, in milliseconds.
     pub endpoints_poll_ms: u64,
-    /// Time after which a call to the store counts as failed, beside the time it may wait, in milliseconds.
+    /// Timeout of a call to the store, in addition to the time for which the call may wait, in milliseconds.
     pub store_timeout_ms: u64,
-    /// Whether requests with keys are refused while it can't be known that their keys still hold.
+    /// Rule for requests with keys while this VM can't confirm that the keys are still valid.
     pub withdrawal: WithdrawalPolicy,
-    /// Time after which a withdrawn key must no longer be used, in milliseconds; it counts where `withdrawal` is
-    /// `bounded`.
+    /// Time after which a withdrawn key must no longer be accepted, in milliseconds; used if `withdrawal` is `bounded`.
     pub withdrawal_ms: u64,
-    /// Share of a service's requests that a bad new version may get.
+    /// Maximum share of a service's requests that a bad new version may receive.
     pub max_trial_share: f64,
-    /// Pause after which a session's next request no longer belongs to it, in seconds.
+    /// Idle time after which a session ends, in seconds.
     pub session_s: f64,
-    /// Most retries for each request, over all VMs.
+    /// Maximum ratio of retries to requests, over all VMs.
     pub retry_ratio: f64,
-    /// Time from the signal of a planned stop to its end, in seconds.
+    /// Time limit of a planned stop from its signal on, in seconds.
     pub grace_s: f64,
 }
 
@@ -291,7 +291,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DrainSettings {
-    /// Time after which a stop no longer waits for requests in progress, in seconds.
+    /// Maximum time for which a stop waits for requests in progress, in seconds.
     pub limit_s: u64,
 }
 
@@ -301,15 +301,15 @@
     }
 }
 
-/// Logs.
+/// Logging.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LoggingSettings {
-    /// Lowest level that is written: `error`, `warn`, `info`, `debug` or `trace`.
+    /// Least severe level that is written: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: String,
-    /// Lines that wait to be written; more are dropped and counted.
+    /// Maximum number of queued lines; further lines are dropped and counted.
     pub queue_lines: usize,
-    /// Most lines that are written in a second; more are dropped and counted.
+    /// Maximum number of lines written per second; further lines are dropped and counted.
     pub max_lines_per_s: u64,
 }
 
@@ -319,11 +319,11 @@
     }
 }
 
-/// Someone who may call the operators' port.
+/// An operator with access to the operators' port.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
-    /// Name of the operator, as the audit trail shows it.
+    /// Name of the operator in the audit trail.
     pub name: String,
     /// SHA-256 of the operator's key, in hexadecimal.
     pub key_sha256: String,
--- a/havengrade_router/tests/logging.rs
+++ b/havengrade_router/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Logs never make anyone wait, and say how much of them was lost.
+//! Logging never blocks the caller and reports the number of dropped lines.
 #![allow(clippy::unwrap_used)]
 
 use std::{
@@ -10,7 +10,7 @@
 use havengrade_router::logging::{LineWriter, write_lines};
 
 #[test]
-fn a_reader_that_never_reads_holds_nobody_up() {
+fn full_queue_drops_lines_without_blocking() {
     let (mut writer, rx, dropped) = LineWriter::new(10);
     for _ in 0..1000 {
         writer.write_all(b"line\n").unwrap();
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn lines_over_the_rate_are_dropped_and_counted() {
+fn lines_above_the_rate_limit_are_dropped_and_counted() {
     let (mut writer, rx, dropped) = LineWriter::new(1000);
     for _ in 0..60 {
         writer.write_all(b"line\n").unwrap();
@@ -41,9 +41,9 @@
 }
 
 #[test]
-fn a_closed_output_ends_nothing() {
-    struct Closed;
-    impl Write for Closed {
+fn closed_output_does_not_end_the_writer() {
+    struct ClosedOutput;
+    impl Write for ClosedOutput {
         fn write(&mut self, _buf: &[u8]) -> io::Result<usize> {
             Err(io::Error::from(io::ErrorKind::BrokenPipe))
         }
@@ -55,5 +55,5 @@
     writer.write_all(b"line\n").unwrap();
     drop(writer);
     let start = Instant::now();
-    write_lines(&rx, &dropped, 100, &|| start, &mut Closed);
+    write_lines(&rx, &dropped, 100, &|| start, &mut ClosedOutput);
 }
--- a/havengrade_router/tests/settings.rs
+++ b/havengrade_router/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Faulty settings: all faults at once, each with its key, value and remedy.
+//! Parsing and reloading of settings; all faults are reported together, each with its key, value and remedy.
 #![allow(clippy::unwrap_used)]
 
 use havengrade_core::published::withdrawal_policy::WithdrawalPolicy;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn all_faults_are_found_together() {
+fn all_faults_are_reported_together() {
     let text = r#"
         [vm]
         id = "a/b"
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn what_is_left_out_takes_its_default() {
+fn omitted_keys_take_their_defaults() {
     let settings = parse("[vm]\nid = \"vm-9\"\n").unwrap();
     let mut expected = Settings::default();
     expected.vm.id = "vm-9".into();
@@ -68,13 +68,13 @@
 }
 
 #[test]
-fn text_that_is_no_toml_is_told_with_its_place() {
+fn malformed_toml_is_reported_with_its_line() {
     let error = parse("[vm\n").unwrap_err().to_string();
     assert!(error.contains("line 1"), "{error}");
 }
 
 #[test]
-fn faults_of_published_routes_are_told_with_their_remedy() {
+fn faults_of_published_routes_are_reported_with_their_remedies() {
     let text = "[published]\nmax_trial_share = 1.5\nsession_s = 0.0\ngrace_s = -1.0\nmetrics = \"127.0.0.1:8083\"\n";
     let error = parse(text).unwrap_err().to_string();
     for part in [
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_file_is_taken_over_when_its_text_changes_and_is_without_faults() {
+fn changed_file_is_loaded_unless_it_has_faults() {
     let path = std::env::temp_dir().join(format!("havengrade-settings-{}.toml", std::process::id()));
     std::fs::write(&path, "[published]\nwithdrawal_ms = 4000\n").unwrap();
     let (mut file, settings) = SettingsFile::open(&path).unwrap();
@@ -96,7 +96,7 @@
     assert!(file.reload().unwrap().is_none());
     std::fs::write(&path, "[published]\nwithdrawal_ms = 0\n").unwrap();
     assert!(matches!(file.reload(), Err(SettingsFileError::Faulty { .. })));
-    assert!(file.reload().unwrap().is_none(), "a faulty text is told once");
+    assert!(file.reload().unwrap().is_none(), "faults of a text are reported once");
     std::fs::write(&path, "[published]\nwithdrawal_ms = 3000\n").unwrap();
     assert_eq!(file.reload().unwrap().unwrap().published.withdrawal_ms, 3000);
     std::fs::remove_file(&path).unwrap();
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn what_happens_to_keys_that_may_be_withdrawn_is_named_in_words() {
+fn withdrawal_policy_is_set_by_name() {
     assert_eq!(parse("").unwrap().published.withdrawal, WithdrawalPolicy::Bounded);
     let text = "[published]\nwithdrawal = \"when-learned\"\n";
     assert_eq!(parse(text).unwrap().published.withdrawal, WithdrawalPolicy::WhenLearned);
