--- a/havengrade_router/src/traffic/execution.rs
+++ b/havengrade_router/src/traffic/execution.rs
@@ -53,9 +53,9 @@
     },
 }
 
-/// Why an attempt gave no answer.
+/// Why the attempts at a version gave no answer.
 pub(crate) enum AttemptError {
-    /// The request didn't run there, so the next version may be tried.
+    /// The request didn't run there, so the next version may be asked.
     NotRun(Problem),
     /// The request as a whole has ended.
     Ended(RequestOutcome),
@@ -149,17 +149,18 @@
     }
 }
 
+/// Sends a chat request to endpoints of a version until one answers; the next endpoint continues a partial answer.
 async fn try_version(
     request: &ActiveRequest,
     chat: &ChatRequest,
     version: &VersionId,
     consumption: &mut Consumption,
 ) -> Result<VersionAnswer, AttemptError> {
-    let mut tried: Vec<EndpointId> = Vec::new();
+    let mut tried_endpoints: Vec<EndpointId> = Vec::new();
     let mut problem = no_endpoint(request.backoff_left(Some(version)));
     let quarantine = RequestQuarantine::new(request, Some(version), "");
     let mut collector = Collector { entry: &request.entry, source: None, content: String::new() };
-    while let Some(endpoint) = next_endpoint(request, Some(version), &tried) {
+    while let Some(endpoint) = next_endpoint(request, Some(version), &tried_endpoints) {
         if let Err(refusal) = quarantine.admit().await {
             problem = refusal;
             break;
@@ -176,7 +177,7 @@
         let call = EngineCall {
             cx: &request.cx,
             endpoint: &endpoint,
-            stream_id: format!("{}.{}", request.entry.id, tried.len()),
+            stream_id: format!("{}.{}", request.entry.id, tried_endpoints.len()),
             priority: request.decision.class.priority,
         };
         let in_flight = request.cx.shared.endpoints.begin_request(&endpoint.id);
@@ -206,7 +207,7 @@
                 problem = Problem::may_have_run(StatusCode::BAD_GATEWAY, "engine_lost", reason);
             },
         }
-        tried.push(endpoint.id);
+        tried_endpoints.push(endpoint.id);
     }
     if collector.content.is_empty() {
         return Err(AttemptError::NotRun(problem));
@@ -224,15 +225,17 @@
 pub(crate) fn next_endpoint(
     request: &ActiveRequest,
     version: Option<&VersionId>,
-    tried: &[EndpointId],
+    tried_endpoints: &[EndpointId],
 ) -> Option<Endpoint> {
     let shared = &request.cx.shared;
-    if tried.is_empty() {
+    if tried_endpoints.is_empty() {
         shared.retry_budget().record_first_try();
-    } else if tried.len() >= shared.settings.endpoints.max_tries as usize || !shared.retry_budget().try_acquire() {
+    } else if tried_endpoints.len() >= shared.settings.endpoints.max_tries as usize
+        || !shared.retry_budget().try_acquire()
+    {
         return None;
     }
-    request.choose_endpoint(version, tried)
+    request.choose_endpoint(version, tried_endpoints)
 }
 
 /// Claims the request's idempotency key before anything is sent.
--- a/havengrade_router/src/traffic/plain_call.rs
+++ b/havengrade_router/src/traffic/plain_call.rs
@@ -39,13 +39,13 @@
 
 /// Forwards the request to an endpoint of its service, or to its scripts.
 pub(crate) async fn call_service(request: &ActiveRequest, content_type: &str, path: &str) -> RequestOutcome {
-    let mut tried: Vec<EndpointId> = Vec::new();
+    let mut tried_endpoints: Vec<EndpointId> = Vec::new();
     let mut problem = unavailable("no endpoint of the service is there now");
     if let Some(backoff_left) = request.backoff_left(None) {
         problem = problem.with_retry_after(backoff_left);
     }
     let quarantine = RequestQuarantine::new(request, None, path);
-    while let Some(endpoint) = next_attempt_endpoint(request, &tried).await {
+    while let Some(endpoint) = next_attempt_endpoint(request, &tried_endpoints).await {
         if let Err(refusal) = quarantine.admit().await {
             problem = refusal;
             break;
@@ -80,7 +80,7 @@
                 problem = Problem::may_have_run(StatusCode::BAD_GATEWAY, "service_lost", error.to_string());
             },
         }
-        tried.push(endpoint.id);
+        tried_endpoints.push(endpoint.id);
     }
     fail_request(request, problem).await
 }
@@ -96,12 +96,12 @@
 ///
 /// At a service whose endpoints deduplicate by key, a request that may not be repeated always goes to the same
 /// endpoint, since only that one knows whether the key ran there.
-async fn next_attempt_endpoint(request: &ActiveRequest, tried: &[EndpointId]) -> Option<Endpoint> {
-    let Some(endpoint) = endpoint_for_key(request) else { return next_endpoint(request, None, tried) };
-    if tried.len() >= MAX_KEYED_ATTEMPTS {
+async fn next_attempt_endpoint(request: &ActiveRequest, tried_endpoints: &[EndpointId]) -> Option<Endpoint> {
+    let Some(endpoint) = endpoint_for_key(request) else { return next_endpoint(request, None, tried_endpoints) };
+    if tried_endpoints.len() >= MAX_KEYED_ATTEMPTS {
         return None;
     }
-    if !tried.is_empty() {
+    if !tried_endpoints.is_empty() {
         sleep(KEYED_ATTEMPT_PAUSE).await;
     }
     let is_backing_off = request.cx.shared.endpoints.state(&endpoint.id).backoff_left(request.now()).is_some();
--- a/havengrade_router/src/traffic/problem.rs
+++ b/havengrade_router/src/traffic/problem.rs
@@ -128,10 +128,10 @@
 }
 
 impl From<NotServingReason> for Problem {
-    fn from(closed: NotServingReason) -> Self {
+    fn from(reason: NotServingReason) -> Self {
         /// Time after which another VM, or this one, is expected to serve requests.
         const RETRY_DELAY: Duration = Duration::from_secs(1);
-        let (kind, detail) = match closed {
+        let (kind, detail) = match reason {
             NotServingReason::Starting => {
                 ("starting", "this VM has not caught up with the configuration yet; try another")
             },
--- a/havengrade_router/src/traffic/routes.rs
+++ b/havengrade_router/src/traffic/routes.rs
@@ -74,7 +74,7 @@
 fn readiness(cx: &Context) -> Answer {
     match cx.shared.not_serving_reason(cx.shared.clock.now()) {
         None => whole_answer(200, "text/plain", "ready\n".into()),
-        Some(closed) => problem_answer(&Problem::from(closed)),
+        Some(reason) => problem_answer(&Problem::from(reason)),
     }
 }
 
@@ -232,8 +232,8 @@
 ) -> Result<RoutingDecision, Problem> {
     let shared = &cx.shared;
     let now = shared.clock.now();
-    if let Some(closed) = shared.not_serving_reason(now) {
-        return Err(Problem::from(closed));
+    if let Some(reason) = shared.not_serving_reason(now) {
+        return Err(Problem::from(reason));
     }
     let (catalog, evidence) = (shared.catalog.load(), shared.evidence.load());
     let decision = decide_route(&catalog, &received.account, meta, &evidence, &mut *shared.rng(), now)
