--- a/havengrade_router/src/services/endpoints.rs
+++ b/havengrade_router/src/services/endpoints.rs
@@ -53,7 +53,7 @@
         /// Id of the endpoint.
         endpoint: EndpointId,
         /// Number of this VM's requests in flight there when the poll began.
-        own: u32,
+        own_in_flight: u32,
         /// The report.
         report: EndpointReport,
     },
@@ -114,8 +114,8 @@
     ) -> Result<(), ActorProcessingErr> {
         match message {
             EndpointsMessage::Tick => state.tick(&myself),
-            EndpointsMessage::OwnReport { endpoint, own, report } => {
-                state.apply_report(&endpoint, report, Some(own));
+            EndpointsMessage::OwnReport { endpoint, own_in_flight, report } => {
+                state.apply_report(&endpoint, report, Some(own_in_flight));
                 state.cx.shared.record_endpoint_report(endpoint, report);
             },
             EndpointsMessage::RelayedReports(reports) => {
@@ -137,14 +137,14 @@
         let report_interval = Duration::from_millis(self.cx.shared.settings.endpoints.report_ms);
         let silence_timeout = Duration::from_millis(self.cx.shared.settings.endpoints.silence_ms);
         for (id, monitored) in &mut self.monitored {
-            let time_since_answer = monitored.time_since_answer(now);
-            if time_since_answer > silence_timeout {
+            let time_since_activity = monitored.time_since_activity(now);
+            if time_since_activity > silence_timeout {
                 monitored.slot.mark_unresponsive();
             }
             // All VMs poll an endpoint without a recent report, since the VM responsible for it may be gone.
             let is_responsible = monitored.assignment_hash % live.len().max(1) as u64 == own_index;
             let is_due =
-                is_responsible || time_since_answer > report_interval * 3 / 2 || monitored.needs_direct_report();
+                is_responsible || time_since_activity > report_interval * 3 / 2 || monitored.needs_direct_report();
             let was_polled = monitored
                 .last_polled
                 .is_some_and(|last_polled| now.duration_since(last_polled).unwrap_or_default() < report_interval);
@@ -162,17 +162,17 @@
         }
     }
 
-    /// Marks the endpoints as known once each has answered or its first poll has timed out.
+    /// Marks the endpoints as probed once each has answered or its first poll has timed out.
     fn check_first_answers(&self) {
         /// Time that an endpoint has for its first answer.
         const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
         let now = self.cx.shared.clock.now();
         let has_timed_out =
             |last_polled: SystemTime| now.duration_since(last_polled).unwrap_or_default() >= FIRST_ANSWER_TIMEOUT;
-        let is_known = |monitored: &MonitoredEndpoint| {
+        let is_probed = |monitored: &MonitoredEndpoint| {
             monitored.slot.last_activity().is_some() || monitored.last_polled.is_some_and(has_timed_out)
         };
-        if self.cx.shared.is_caught_up() && self.monitored.values().all(is_known) {
+        if self.cx.shared.is_caught_up() && self.monitored.values().all(is_probed) {
             self.cx.shared.set_endpoints_probed();
         }
     }
@@ -199,15 +199,15 @@
         self.catalog = catalog;
     }
 
-    fn apply_report(&mut self, endpoint: &str, report: EndpointReport, own: Option<u32>) {
+    fn apply_report(&mut self, endpoint: &str, report: EndpointReport, own_in_flight: Option<u32>) {
         let is_listed_shutting_down = self.listed_shutting_down.contains(endpoint);
         let Some(monitored) = self.monitored.get_mut(endpoint) else { return };
         match report {
             EndpointReport::ConnectionRefused => monitored.slot.mark_unresponsive(),
             EndpointReport::Load { load, shutting_down } => {
                 // A relayed report may be old, so only a direct report can reset the flag.
-                monitored.reports_shutdown = shutting_down || (own.is_none() && monitored.reports_shutdown);
-                monitored.slot.record_load(load, own.unwrap_or_else(|| monitored.slot.in_flight()));
+                monitored.reports_shutdown = shutting_down || (own_in_flight.is_none() && monitored.reports_shutdown);
+                monitored.slot.record_load(load, own_in_flight.unwrap_or_else(|| monitored.slot.in_flight()));
                 monitored.slot.record_activity(self.cx.shared.clock.now());
                 monitored.slot.set_shutting_down(monitored.reports_shutdown || is_listed_shutting_down);
             },
@@ -240,10 +240,13 @@
         self.slot.last_activity().is_none() || self.reports_shutdown
     }
 
-    /// Returns the time since the endpoint last answered, or since its monitoring began.
-    fn time_since_answer(&self, now: SystemTime) -> Duration {
-        let heard = self.slot.last_activity().map_or(self.monitored_since, |heard| heard.max(self.monitored_since));
-        now.duration_since(heard).unwrap_or_default()
+    /// Returns the time since the last activity of the endpoint, or since its monitoring began.
+    fn time_since_activity(&self, now: SystemTime) -> Duration {
+        let last_activity = self
+            .slot
+            .last_activity()
+            .map_or(self.monitored_since, |last_activity| last_activity.max(self.monitored_since));
+        now.duration_since(last_activity).unwrap_or_default()
     }
 }
 
@@ -253,7 +256,7 @@
     service: ActorRef<EndpointsMessage>,
     endpoint: EndpointId,
     address: SocketAddr,
-    own: u32,
+    own_in_flight: u32,
 ) {
     let timeout = Duration::from_millis(cx.shared.settings.endpoints.silence_ms);
     let request = get(&format!("http://{address}/load"));
@@ -265,7 +268,7 @@
         Err(error) => error.is_known_not_sent().then_some(EndpointReport::ConnectionRefused),
     };
     if let Some(report) = report {
-        let _ = service.cast(EndpointsMessage::OwnReport { endpoint, own, report });
+        let _ = service.cast(EndpointsMessage::OwnReport { endpoint, own_in_flight, report });
     }
 }
 
--- a/havengrade_router/src/services/ledger.rs
+++ b/havengrade_router/src/services/ledger.rs
@@ -64,7 +64,7 @@
     RequestState(RequestId, RpcReplyPort<Option<(ClaimKey, KeyState)>>),
     /// Ask whether all submitted records are in the log.
     IsEmpty(RpcReplyPort<bool>),
-    /// Incarnations of the live VMs; claims of other incarnations are settled as abandoned.
+    /// Incarnations of the live VMs; claims of other incarnations are settled as abandoned after a time.
     LiveIncarnations(Vec<Incarnation>),
     /// Handle overdue records and abandoned claims.
     Tick,
@@ -211,7 +211,7 @@
         self.cancelled = self.cancelled.split_off(&batch.seq);
     }
 
-    /// Voids claims that reached the log after this VM had cancelled them, so never ran their requests.
+    /// Voids claims that reached the log after this VM cancelled them; their requests never ran.
     fn void_late_claims(&mut self, records: &[LedgerRecord], results: &[ApplyResult]) {
         for (record, result) in records.iter().zip(results) {
             if let (LedgerRecord::Claim(claim), ApplyResult::Applied) = (record, result) {
--- a/havengrade_router/src/services/operators.rs
+++ b/havengrade_router/src/services/operators.rs
@@ -91,7 +91,7 @@
         match listener.accept().await {
             Ok(connection) => drop(connections.spawn(serve_operator(cx.clone(), connection))),
             Err(error) => {
-                log::warn!(service = NAME; "failed to accept an operator connection: {error}");
+                log::warn!(service = NAME; "connection not accepted: {error}");
                 sleep(super::ACCEPT_RETRY_DELAY).await;
             },
         }
--- a/havengrade_router/src/services/peers/server.rs
+++ b/havengrade_router/src/services/peers/server.rs
@@ -34,7 +34,7 @@
         match listener.accept().await {
             Ok(connection) => drop(connections.spawn(serve_peer(cx.clone(), connection))),
             Err(error) => {
-                log::warn!(service = NAME; "failed to accept a peer connection: {error}");
+                log::warn!(service = NAME; "connection not accepted: {error}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             },
         }
