--- a/havengrade_router/src/traffic/execution.rs
+++ b/havengrade_router/src/traffic/execution.rs
@@ -182,7 +182,7 @@
         };
         let in_flight = request.cx.shared.endpoints.begin_request(&endpoint.id);
         let was_sent = request.mark_sent();
-        let sent = request.now();
+        let sent_at = request.now();
         let result = call.run(&body, &mut collector).await;
         drop(in_flight);
         request.record_attempt(&endpoint.id, result.is_ok());
@@ -200,7 +200,7 @@
                 problem = endpoints_busy(&reason);
             },
             Err(EngineError::NotRun(reason) | EngineError::MayHaveRun(reason)) => {
-                quarantine.record_broken_attempt(&endpoint, sent).await;
+                quarantine.record_broken_attempt(&endpoint, sent_at).await;
                 if !request.is_repeatable() {
                     return Err(AttemptError::Ended(fail_request(request, answer_lost()).await));
                 }
--- a/havengrade_router/src/traffic/ledger_client.rs
+++ b/havengrade_router/src/traffic/ledger_client.rs
@@ -23,17 +23,17 @@
 /// Submits a record and waits for the result of its submission.
 pub(crate) async fn submit(cx: &Context, record: LedgerRecord) -> SubmitOutcome {
     let record = Box::new(record);
-    let submitted = if let LedgerRecord::Bill(_) = *record {
+    let result = if let LedgerRecord::Bill(_) = *record {
         let Some(service) = cx.find::<BillsMessage>(bills::NAME) else { return SubmitOutcome::Cancelled };
         service.call(|reply| BillsMessage::Submit { record, reply: Some(reply) }, None).await.ok()
     } else {
         let Some(service) = cx.find::<LedgerMessage>(ledger::NAME) else { return SubmitOutcome::Cancelled };
         service.call(|reply| LedgerMessage::Submit { record, reply: Some(reply) }, None).await.ok()
     };
-    submitted.and_then(|submitted| submitted.success_or(()).ok()).unwrap_or(SubmitOutcome::Cancelled)
+    result.and_then(|result| result.success_or(()).ok()).unwrap_or(SubmitOutcome::Cancelled)
 }
 
-/// Submits a record that is never given up, without waiting for the result.
+/// Submits a record that is never cancelled, without waiting for the result.
 pub(crate) fn submit_detached(cx: &Context, record: LedgerRecord) {
     let record = Box::new(record);
     // A service that has stopped loses its records as in a crash, except for those that peers hold.
--- a/havengrade_router/src/traffic/plain_call.rs
+++ b/havengrade_router/src/traffic/plain_call.rs
@@ -57,7 +57,7 @@
             break;
         }
         let in_flight = request.cx.shared.endpoints.begin_request(&endpoint.id);
-        let sent = request.now();
+        let sent_at = request.now();
         let result = send(request, &endpoint, content_type, path).await;
         drop(in_flight);
         if let Ok(answer) = &result {
@@ -73,7 +73,7 @@
             Ok(answer) => return finish(request, &endpoint, answer).await,
             Err(error) if error.is_known_not_sent() => problem = unavailable(&error.to_string()),
             Err(error) => {
-                quarantine.record_broken_attempt(&endpoint, sent).await;
+                quarantine.record_broken_attempt(&endpoint, sent_at).await;
                 if !request.is_repeatable() && !endpoint.deduplicates {
                     return fail_request(request, answer_lost()).await;
                 }
--- a/havengrade_router/src/traffic/quarantine.rs
+++ b/havengrade_router/src/traffic/quarantine.rs
@@ -90,17 +90,17 @@
         log_changes(change.as_slice());
     }
 
-    /// Records that an attempt, started at `sent`, lost its connection, and probes whether the endpoint has exited.
-    pub(crate) async fn record_broken_attempt(&self, endpoint: &Endpoint, sent: SystemTime) {
+    /// Records that an attempt, started at `sent_at`, lost its connection, and probes whether the endpoint has exited.
+    pub(crate) async fn record_broken_attempt(&self, endpoint: &Endpoint, sent_at: SystemTime) {
         let now = self.request.now();
-        let ran_for = now.duration_since(sent).unwrap_or_default();
+        let ran_for = now.duration_since(sent_at).unwrap_or_default();
         let run = (self.fingerprint, self.version_fingerprint);
         self.request.cx.shared.quarantine().record_broken_attempt(run, &endpoint.id, ran_for, now);
         let (cx, id, address) = (self.request.cx.clone(), endpoint.id.clone(), endpoint.address);
         let shutdown = cx.forced_shutdown.clone();
-        let probing =
+        let probe_task =
             tokio::spawn(shutdown.run_until_cancelled_owned(async move { probe_endpoint(&cx, &id, address).await }));
-        if timeout(PROBE_WAIT, probing).await.is_err() {
+        if timeout(PROBE_WAIT, probe_task).await.is_err() {
             log::debug!(endpoint = endpoint.id.as_str(); "not waiting for the probe of an endpoint");
         }
     }
--- a/havengrade_router/src/traffic/server.rs
+++ b/havengrade_router/src/traffic/server.rs
@@ -22,8 +22,8 @@
     loop {
         match listener.accept().await {
             Ok(connection) => {
-                let served = cx.forced_shutdown.clone().run_until_cancelled_owned(serve_caller(cx.clone(), connection));
-                cx.tracked_tasks.spawn(served);
+                let task = cx.forced_shutdown.clone().run_until_cancelled_owned(serve_caller(cx.clone(), connection));
+                cx.tracked_tasks.spawn(task);
             },
             Err(error) => {
                 log::warn!("connection not accepted: {error}");
@@ -50,15 +50,15 @@
             .half_close(true)
             .serve_connection(TokioIo::new(connection), service)
     );
-    let served = tokio::select! {
+    let result = tokio::select! {
         biased;
-        served = connection.as_mut() => served,
+        result = connection.as_mut() => result,
         () = cx.graceful_shutdown.cancelled() => {
             connection.as_mut().graceful_shutdown();
             connection.await
         },
     };
-    if let Err(error) = served {
+    if let Err(error) = result {
         log::debug!("connection of a caller ended: {error}");
     }
 }
