--- a/havengrade_router/src/published/forward.rs
+++ b/havengrade_router/src/published/forward.rs
@@ -1,4 +1,4 @@
-//! Forwards a request: admits it and attempts endpoints until one answers or the request is refused.
+//! Forwards a request: admits it and tries endpoints until one answers or the request is refused.
 
 use std::time::{Duration, SystemTime};
 
@@ -107,7 +107,7 @@
     );
 }
 
-/// Attempts endpoints until one answers or no further attempt is allowed.
+/// Sends the request to one endpoint after another until one answers or no further attempt is allowed.
 async fn run_attempts(
     cx: &PublishedContext,
     mut request: ActiveRequest,
--- a/havengrade_router/src/published/retry_budgets.rs
+++ b/havengrade_router/src/published/retry_budgets.rs
@@ -14,10 +14,10 @@
 
 /// Share of the operators' bound that is used; the rest covers requests that are counted in another window.
 const RETRY_SHARE: f64 = 0.9;
-/// Converts a ratio to percent.
+/// Factor from a ratio to percent.
 const PERCENT: f64 = 100.0;
 /// Retries that a VM may accumulate for each service; small, since the operators' bound holds for all VMs together.
-const SAVED_RETRIES: u64 = 4;
+const MAX_SAVED_RETRIES: u64 = 4;
 
 /// Retry budgets of all services.
 #[derive(Debug)]
@@ -66,7 +66,9 @@
             return act(budget);
         }
         let percent = self.retry_percent.load(Ordering::Relaxed);
-        act(budgets.entry(service.to_owned()).or_insert_with(|| RetryBudget::with_max_saved(percent, SAVED_RETRIES)))
+        act(budgets
+            .entry(service.to_owned())
+            .or_insert_with(|| RetryBudget::with_max_saved(percent, MAX_SAVED_RETRIES)))
     }
 }
 
--- a/havengrade_router/src/published/rewrite.rs
+++ b/havengrade_router/src/published/rewrite.rs
@@ -56,7 +56,7 @@
     outgoing
 }
 
-/// Removes hop-by-hop headers and those that `connection` lists.
+/// Removes hop-by-hop headers and those that the `connection` header lists.
 fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
