--- a/havengrade_router/src/published/registration.rs
+++ b/havengrade_router/src/published/registration.rs
@@ -15,7 +15,7 @@
     known_vms::{ask_reader, peer_addresses, read_list},
     peers::greet,
     ports::Roster,
-    startup::{discover_vms, learn_state},
+    startup::{discover_vms, load_state},
 };
 
 /// Delays of the first two refreshes after a start: other VMs may register after the list was read, and until all know
@@ -44,7 +44,7 @@
             register_with_retries(&cx, &*roster, &me).await;
             is_registered = true;
         }
-        learn_state(&cx, &*roster).await;
+        load_state(&cx, &*roster).await;
         if !is_registered {
             sleep(registration_delay(&cx)).await;
             register_with_retries(&cx, &*roster, &me).await;
--- a/havengrade_router/src/published/startup.rs
+++ b/havengrade_router/src/published/startup.rs
@@ -26,7 +26,7 @@
 const FIRST_START_SPREAD: u32 = 8;
 
 /// Gets the active state, and then allows the services to read the store.
-pub(super) async fn learn_state(cx: &PublishedContext, roster: &dyn Roster) {
+pub(super) async fn load_state(cx: &PublishedContext, roster: &dyn Roster) {
     fetch_initial_state(cx, roster).await;
     feed_reader::start_reading(cx);
     log::info!(vms = cx.shared.peers().len(); "active state received");
@@ -60,7 +60,7 @@
     let started_at = cx.shared.clock.now();
     let mut pause = ROUND_INTERVAL;
     for round in 0.. {
-        if ask_round(cx, round).await {
+        if ask_peers(cx, round).await {
             return;
         }
         let step = with_starting_vm(cx, |starting| starting.next_step(started_at, cx.shared.clock.now()));
@@ -111,7 +111,7 @@
 }
 
 /// Asks some other VMs at the same time; returns whether one of them gave the whole state.
-async fn ask_round(cx: &PublishedContext, round: usize) -> bool {
+async fn ask_peers(cx: &PublishedContext, round: usize) -> bool {
     if !cx.uses_state_transfer {
         return false;
     }
--- a/havengrade_router/src/published/state_fetch.rs
+++ b/havengrade_router/src/published/state_fetch.rs
@@ -61,7 +61,7 @@
     #[snafu(display("redirect to an invalid address: {address}"))]
     Address { address: String },
     #[snafu(display("part of {bytes} bytes is too large"))]
-    TooLong { bytes: u64 },
+    TooLarge { bytes: u64 },
     #[snafu(display("part can't be decoded: {source}"))]
     Part { source: serde_json::Error },
     #[snafu(display("the VM does not have the state yet"))]
@@ -242,7 +242,7 @@
     if bytes == 0 {
         return Ok(None);
     }
-    ensure!(bytes <= MAX_PART_BYTES, TooLongSnafu { bytes });
+    ensure!(bytes <= MAX_PART_BYTES, TooLargeSnafu { bytes });
     let mut part = BytesMut::new();
     while (part.len() as u64) < bytes {
         part.unsplit(next_frame(frames).await?);
@@ -292,7 +292,7 @@
         };
         announce_changes(cx, &changes);
     }
-    // Before the endpoint list, so that endpoints known to reject requests get none.
+    // Before the endpoint list, so that no request goes to an endpoint that is known not to accept any.
     merge_reported_signals(cx, decode_signals(head.signals.unwrap_or_default()), cx.shared.clock.now());
     let known_endpoints_position = query.endpoints_position.map(from_i64);
     let is_list =
--- a/havengrade_router/src/published/store_queries.rs
+++ b/havengrade_router/src/published/store_queries.rs
@@ -43,7 +43,9 @@
     vm: VmId,
     sent_at: SystemTime,
     is_answered: bool,
+    /// Position of the operators' events after which changes were asked for.
     operators_position: u64,
+    /// Position of the endpoint list after which changes were asked for.
     endpoints_position: u64,
 }
 
