--- a/havengrade_router/src/published/quarantine.rs
+++ b/havengrade_router/src/published/quarantine.rs
@@ -29,7 +29,8 @@
 const RECENT_ANSWER_TIME: Duration = Duration::from_millis(1000);
 /// Delay before a claim is repeated after another VM claimed the trial; reports on that trial arrive within it.
 const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// How often a request waits for its status: while the decision is pending, and while trials of it run elsewhere.
+/// Maximum number of waits of a request for its status: while the decision is pending, and while trials of it run
+/// elsewhere.
 const MAX_WAITS: u32 = 12;
 /// Longest such wait; a caller that would have to wait for longer is asked to retry.
 const MAX_WAIT: Duration = Duration::from_millis(6000);
