--- a/havengrade_router/src/launch.rs
+++ b/havengrade_router/src/launch.rs
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Calls `begin` at the first signal to begin a planned stop; the second signal ends the stop immediately.
+    /// Calls `begin` at the first signal, to begin a planned stop, and returns at the second one, which ends the stop
+    /// immediately.
     pub async fn wait_for_forced_stop(&mut self, begin: impl FnOnce()) -> ExitCode {
         self.next().await;
         begin();
--- a/havengrade_router/src/shared.rs
+++ b/havengrade_router/src/shared.rs
@@ -35,7 +35,7 @@
 pub struct Freshness {
     /// Latest time at which this configuration was the newest.
     pub confirmed_at: SystemTime,
-    /// Time until which heartbeats count from a majority of VMs, none of which has a newer configuration.
+    /// Time until which the heartbeats of a majority of VMs, none with a newer configuration, are recent enough.
     pub majority_confirmed_until: SystemTime,
     /// Whether the replay has reached the newest known offset since the start.
     pub is_caught_up: bool,
