--- a/havengrade_core/src/published/placement.rs
+++ b/havengrade_core/src/published/placement.rs
@@ -26,13 +26,13 @@
 /// Tokens that another failure domain costs a generation for each token of the prompt, for its bytes, whatever the
 /// model.
 ///
-/// Values from 0.12 to 0.18 perform alike, and 0.25 performs worse; 0 delays fewer answers, but sends more bytes
-/// between failure domains.
+/// From 0.12 to 0.18 the value makes no difference to callers, and 0.25 serves them worse; 0 delays fewer answers, but
+/// sends more bytes between failure domains.
 const FAR_COST_PER_TOKEN: f64 = 0.15;
 /// Weight of reading an uncached shared prefix, which delays all other requests at the endpoint and evicts other
 /// prefixes.
 ///
-/// Values of 1.5 and 2 perform alike, and better than 1.
+/// 1.5 and 2 serve callers equally well, and better than 1.
 const UNCACHED_WEIGHT: f64 = 1.5;
 /// Tokens that each running generation costs another one, for the time that its own steps take.
 const RUNNING_COST: f64 = 60.0;
@@ -42,9 +42,8 @@
 /// Number of random endpoints that a plain request considers in a fleet whose VMs don't see all work.
 ///
 /// The VMs' view is half a second old, and all of them agree on the endpoint with the least work. If all chose that
-/// one, it would get every request until the next reports, and reject some. With 84 VMs and six endpoints, a sample
-/// scores 0.012 higher over three days than the least occupied of all; with 7 VMs, which receive all reports, the least
-/// occupied of all scores higher.
+/// one, it would get every request until the next reports, and reject some. With 84 VMs and six endpoints, callers are
+/// served better by a sample; with 7 VMs, which receive all reports, by the least occupied endpoint of all.
 const PLAIN_SAMPLE_SIZE: usize = 2;
 /// Number of random endpoints of the VM's own failure domain that a generation considers in addition.
 const NEAR_SAMPLE_SIZE: usize = 2;
--- a/havengrade_core/src/published/startup.rs
+++ b/havengrade_core/src/published/startup.rs
@@ -16,8 +16,8 @@
 
 /// Longest time for which a VM listens for others before it reads the list of VMs.
 ///
-/// With 200 ms here and 350 ms as `PEER_ANSWER_TIMEOUT`, restarts of a whole fleet scored 0.013 less at a small site
-/// and no more at two others.
+/// Longer times don't help: with 200 ms here, 350 ms as `PEER_ANSWER_TIMEOUT` and longer rounds, a restart of the whole
+/// fleet served callers of a small site worse and those of two other sites no better.
 pub const MAX_LISTEN_TIME: Duration = Duration::from_millis(60);
 /// Time for which a VM listens at the first start of a fleet, when all others register as well.
 ///
