--- a/havengrade_router/src/traffic/quarantine.rs
+++ b/havengrade_router/src/traffic/quarantine.rs
@@ -78,7 +78,7 @@
         }
         let trial = next_trial(&[*entry], entry, now).ok_or_else(|| quarantined(MAX_WAIT))?;
         self.request.cx.shared.quarantine().record_trials(trial.fingerprint, trial.trials, trial.last_trial);
-        log::info!(request_id = self.request.entry.id.as_str(); "sending a quarantined request once more as a trial");
+        log::info!(request_id = self.request.entry.id.as_str(); "trial of a quarantined request begins");
         Ok(())
     }
 
