--- a/havengrade_core/benches/decisions.rs
+++ b/havengrade_core/benches/decisions.rs
@@ -70,7 +70,7 @@
         let account = catalog.config.accounts["a"].clone();
         let meta = RequestMeta { class: "q".into(), ..RequestMeta::default() };
         let mut rng = ChaCha8Rng::seed_from_u64(1);
-        let wanted = SelectionContext { failure_domain: "d", tried: &[], now: SystemTime::UNIX_EPOCH };
+        let wanted = SelectionContext { failure_domain: "d", tried_endpoints: &[], now: SystemTime::UNIX_EPOCH };
         let version = "m@1".to_owned();
         group.bench_function(BenchmarkId::from_parameter(endpoints), |bencher| {
             bencher.iter(|| {
--- a/havengrade_core/src/endpoint_selection.rs
+++ b/havengrade_core/src/endpoint_selection.rs
@@ -66,7 +66,7 @@
     /// Failure domain of this VM.
     pub failure_domain: &'a str,
     /// Endpoints that have already been tried.
-    pub tried: &'a [EndpointId],
+    pub tried_endpoints: &'a [EndpointId],
     /// Current time.
     pub now: SystemTime,
 }
@@ -125,7 +125,7 @@
     context: SelectionContext<'_>,
 ) -> Option<&'a Endpoint> {
     candidates
-        .filter(|id| !context.tried.contains(id))
+        .filter(|id| !context.tried_endpoints.contains(id))
         .filter_map(|id| catalog.config.endpoints.get(id))
         .map(|endpoint| (endpoint, states.state(&endpoint.id)))
         .filter(|(_, state)| state.is_usable(context.now))
--- a/havengrade_core/src/routing.rs
+++ b/havengrade_core/src/routing.rs
@@ -261,11 +261,9 @@
         (Route::Service { service }, _) => {
             endpoint_selection::choose(catalog, catalog.endpoints_of(service), states, context, rng)
         },
-        (Route::Scripts { endpoint }, _) => catalog
-            .config
-            .endpoints
-            .get(endpoint)
-            .filter(|found| !context.tried.contains(&found.id) && states.state(&found.id).is_usable(context.now)),
+        (Route::Scripts { endpoint }, _) => catalog.config.endpoints.get(endpoint).filter(|found| {
+            !context.tried_endpoints.contains(&found.id) && states.state(&found.id).is_usable(context.now)
+        }),
     }
 }
 
--- a/havengrade_replay/src/measure/time.rs
+++ b/havengrade_replay/src/measure/time.rs
@@ -81,7 +81,7 @@
     let meta =
         RequestMeta { class: "question".to_owned(), bucketing_id: "vm-1.x".to_owned(), ..RequestMeta::default() };
     let evidence = EvidenceTotals::default();
-    let wanted = SelectionContext { failure_domain: "domain-1", tried: &[], now: SystemTime::UNIX_EPOCH };
+    let wanted = SelectionContext { failure_domain: "domain-1", tried_endpoints: &[], now: SystemTime::UNIX_EPOCH };
     let total = fastest(|| {
         for _ in 0..DECISIONS {
             if let Ok(decision) = decide_route(&catalog, &account, &meta, &evidence, &mut rng, sample::now()) {
--- a/havengrade_replay/src/policy/policies.rs
+++ b/havengrade_replay/src/policy/policies.rs
@@ -107,7 +107,7 @@
         let candidates = view.catalog.engines_for(version);
         match self.engines {
             Engines::FewDrawn => {
-                let wanted = SelectionContext { failure_domain: "", tried: &[], now: SystemTime::UNIX_EPOCH };
+                let wanted = SelectionContext { failure_domain: "", tried_endpoints: &[], now: SystemTime::UNIX_EPOCH };
                 choose(view.catalog, candidates, states, wanted, rng).map(|endpoint| endpoint.id.clone())
             },
             Engines::RoundRobin => candidates.get(turn % candidates.len().max(1)).cloned(),
--- a/havengrade_router/src/traffic/active_request.rs
+++ b/havengrade_router/src/traffic/active_request.rs
@@ -94,11 +94,15 @@
     }
 
     /// Chooses the endpoint for the next attempt.
-    pub(crate) fn choose_endpoint(&self, version: Option<&VersionId>, tried: &[EndpointId]) -> Option<Endpoint> {
+    pub(crate) fn choose_endpoint(
+        &self,
+        version: Option<&VersionId>,
+        tried_endpoints: &[EndpointId],
+    ) -> Option<Endpoint> {
         let shared = &self.cx.shared;
         let catalog = shared.catalog.load();
         let failure_domain = &shared.settings.vm.failure_domain;
-        let context = SelectionContext { failure_domain, tried, now: self.now() };
+        let context = SelectionContext { failure_domain, tried_endpoints, now: self.now() };
         let mut rng = shared.rng();
         choose_endpoint(&catalog, &self.decision.route, version, &shared.endpoints, context, &mut *rng).cloned()
     }
