--- a/havengrade_ctl/src/cli.rs
+++ b/havengrade_ctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! The options of `havengradectl`.
+//! Command-line arguments of `havengradectl`.
 
 use std::{net::SocketAddr, path::PathBuf};
 
--- a/havengrade_ctl/src/command.rs
+++ b/havengrade_ctl/src/command.rs
@@ -1,4 +1,4 @@
-//! Carrying out the commands.
+//! Executes the commands of `havengradectl`.
 
 use std::{
     env, fs,
@@ -19,62 +19,66 @@
 
 use crate::{
     cli::{ChangeOptions, Command, Format, Options},
-    error::{ChangeFileSnafu, CtlError, FileSnafu, NoKeySnafu, NotAppliedSnafu, UnknownSnafu, UnreachableSnafu},
+    error::{
+        ChangeFileSnafu, CtlError, FileSnafu, MissingKeySnafu, NotAppliedSnafu, OutcomeUnknownSnafu, UnreachableSnafu,
+    },
     explain::explain,
-    print,
+    output,
 };
 
-/// Time for which a VM may take to answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(10);
-/// Variable that holds the operator's key.
+/// Time limit for connecting to a VM, and for each of its replies.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Environment variable that holds the operator's key.
 const KEY_VARIABLE: &str = "HAVENGRADE_KEY";
 
-/// Carries out a command and returns what it prints.
+/// Executes a command and returns its output.
 ///
 /// # Errors
 ///
-/// [`CtlError`] tells what is at fault and what to do about it.
+/// Returns a [`CtlError`] whose text names the fault and, where there is one, the remedy.
 pub fn run(options: &Options) -> Result<String, CtlError> {
     match &options.command {
-        Command::HashKey { name, secret } => return Ok(hash_key(name, secret.as_deref())),
-        Command::Extra { directory } => return write_extra(directory),
-        Command::Explain { request } => return explain_from(&mut io::stdin().lock(), request),
+        Command::HashKey { name, secret } => return Ok(generate_key(name, secret.as_deref())),
+        Command::Extra { directory } => return write_manuals_and_completions(directory),
+        Command::Explain { request } => return explain_logs(&mut io::stdin().lock(), request),
         _ => {},
     }
-    let key = env::var(KEY_VARIABLE).ok().context(NoKeySnafu)?;
-    let client = connect(options.vm, ANSWER_LIMIT).context(UnreachableSnafu)?;
+    let key = env::var(KEY_VARIABLE).ok().context(MissingKeySnafu)?;
+    let client = connect(options.vm, CALL_TIMEOUT).context(UnreachableSnafu)?;
     let credentials = Credentials::new(options.operator.clone(), key);
-    Session { client, credentials, format: options.format }.run(&options.command)
+    OperatorSession { client, credentials, format: options.format }.run(&options.command)
 }
 
 /// A connection to a VM on behalf of an operator.
-struct Session {
+struct OperatorSession {
     client: OperatorClient,
     credentials: Credentials,
     format: Format,
 }
 
-impl Session {
+impl OperatorSession {
     fn run(&mut self, command: &Command) -> Result<String, CtlError> {
         let credentials = self.credentials.clone();
         match command {
             Command::Plan { file, out } => self.plan(file, out.as_deref()),
             Command::Apply { file, planned, change } => self.apply(file.as_deref(), planned.as_deref(), change),
             Command::Withdraw { version, change } => {
-                let id = change_id(change);
+                let id = change_id_or_random(change);
                 let reply = self.client.withdraw(credentials, id, change.reason.clone(), version.clone())?;
-                self.changed(&reply)
+                self.format_reply(&reply)
             },
             Command::Outcome { change_id } => {
                 let reply = self.client.outcome(credentials, change_id.clone())?;
-                self.changed(&reply)
+                self.format_reply(&reply)
+            },
+            Command::Show { kind } => {
+                Ok(output::format_items(&self.client.show(credentials, kind.clone())?, self.format))
             },
-            Command::Show { kind } => Ok(print::items(&self.client.show(credentials, kind.clone())?, self.format)),
             Command::Audit { from, limit } => {
                 let entries = self.client.audit(credentials, i64::from(*from), i32::from(*limit))?;
-                Ok(print::audit(&entries, self.format))
+                Ok(output::format_audit(&entries, self.format))
             },
-            Command::Status => Ok(print::status(&self.client.status(credentials)?, self.format)),
+            Command::Status => Ok(output::format_status(&self.client.status(credentials)?, self.format)),
             Command::Drain { vm_id } => {
                 self.client.drain(credentials, vm_id.clone())?;
                 Ok(format!("{vm_id} drains; `havengradectl status` shows how far it is\n"))
@@ -84,20 +88,20 @@
     }
 
     fn plan(&mut self, file: &Path, out: Option<&Path>) -> Result<String, CtlError> {
-        let plan = self.ask_plan(file)?;
+        let plan = self.request_plan(file)?;
         if let Some(out) = out {
             let path = out.display().to_string();
             fs::write(out, &plan.changes_json).context(FileSnafu { path })?;
         }
-        let text = print::plan(&plan, self.format);
+        let text = output::format_plan(&plan, self.format);
         ensure!(plan.faults.is_empty(), NotAppliedSnafu { detail: format!("{text}{}", plan.faults.join("; ")) });
         Ok(text)
     }
 
-    fn ask_plan(&mut self, file: &Path) -> Result<Plan, CtlError> {
+    fn request_plan(&mut self, file: &Path) -> Result<Plan, CtlError> {
         let path = file.display().to_string();
         let text = fs::read_to_string(file).context(FileSnafu { path: &path })?;
-        // The file is read here too, so that its faults show without a VM.
+        // Parsed locally first, so that faults of the file are reported without a call to the VM.
         ChangeFile::parse(&text).context(ChangeFileSnafu { path })?;
         Ok(self.client.plan(self.credentials.clone(), text)?)
     }
@@ -114,45 +118,47 @@
                 fs::read_to_string(planned).context(FileSnafu { path })?
             },
             (Some(file), None) => {
-                let plan = self.ask_plan(file)?;
+                let plan = self.request_plan(file)?;
                 if plan.differences.is_empty() {
-                    return Ok(print::plan(&plan, self.format));
+                    return Ok(output::format_plan(&plan, self.format));
                 }
                 plan.changes_json
             },
             (None, None) => String::new(),
         };
-        let (id, reason) = (change_id(change), change.reason.clone());
+        let (id, reason) = (change_id_or_random(change), change.reason.clone());
         let reply = self.client.apply(self.credentials.clone(), id, reason, changes_json)?;
-        self.changed(&reply)
+        self.format_reply(&reply)
     }
 
-    fn changed(&self, reply: &ChangeReply) -> Result<String, CtlError> {
+    fn format_reply(&self, reply: &ChangeReply) -> Result<String, CtlError> {
         let detail = reply.detail.clone();
         match reply.status {
-            ChangeStatus::ACCEPTED => Ok(print::change(reply, self.format)),
+            ChangeStatus::ACCEPTED => Ok(output::format_change(reply, self.format)),
             ChangeStatus::CONFLICT | ChangeStatus::INVALID => NotAppliedSnafu { detail }.fail(),
-            _ => UnknownSnafu { detail, change_id: &reply.change_id }.fail(),
+            _ => OutcomeUnknownSnafu { detail, change_id: &reply.change_id }.fail(),
         }
     }
 }
 
-fn change_id(change: &ChangeOptions) -> String {
+/// Returns the id that the operator gave, or a new random one.
+fn change_id_or_random(change: &ChangeOptions) -> String {
     change.change_id.clone().unwrap_or_else(|| Uuid::new_v4().to_string())
 }
 
-fn hash_key(name: &str, secret_part: Option<&str>) -> String {
+/// Formats a key and its digest as TOML lines; the secret part is random unless it is given.
+fn generate_key(name: &str, secret_part: Option<&str>) -> String {
     let secret_part = secret_part.map_or_else(|| Uuid::new_v4().simple().to_string(), str::to_owned);
     let key = format!("{name}.{secret_part}");
-    let digest = hex_digest(&key);
+    let digest = key_digest(&key);
     format!("key        = {key:?}\nkey_sha256 = {digest:?}\n")
 }
 
-fn hex_digest(key: &str) -> String {
+fn key_digest(key: &str) -> String {
     secret::digest(key.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn write_extra(directory: &Path) -> Result<String, CtlError> {
+fn write_manuals_and_completions(directory: &Path) -> Result<String, CtlError> {
     let path = directory.display().to_string();
     let mut command = Options::command();
     fs::create_dir_all(directory).context(FileSnafu { path: &path })?;
@@ -164,7 +170,7 @@
     Ok(format!("written to {path}\n"))
 }
 
-fn explain_from(logs: &mut dyn Read, request: &str) -> Result<String, CtlError> {
+fn explain_logs(logs: &mut dyn Read, request: &str) -> Result<String, CtlError> {
     let mut text = Vec::new();
     logs.read_to_end(&mut text).context(FileSnafu { path: "standard input" })?;
     Ok(explain(&String::from_utf8_lossy(&text), request))
--- a/havengrade_ctl/src/error.rs
+++ b/havengrade_ctl/src/error.rs
@@ -13,76 +13,76 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CtlError {
-    /// A file can't be read or written.
+    /// A file cannot be read or written.
     #[snafu(display("{path}: {source}"))]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A change file can't be used.
+    /// A change file is invalid.
     #[snafu(display("{path}: {source}"))]
     ChangeFile {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong with it.
+        /// The fault that was found.
         source: ChangeFileError,
     },
-    /// No key was given.
+    /// The operator's key is not set.
     #[snafu(display("HAVENGRADE_KEY is not set; set it to the operator's key"))]
-    NoKey,
-    /// The VM can't be reached.
-    #[snafu(display("{source}; name a VM that answers with --vm"))]
+    MissingKey,
+    /// The connection to the VM could not be opened.
+    #[snafu(display("{source}; use --vm to choose a VM that answers"))]
     Unreachable {
-        /// Why.
+        /// Error of the connection attempt.
         source: RpcError,
     },
-    /// The VM refused the call.
+    /// The VM rejected the call.
     #[snafu(display("{reason}"))]
-    Refused {
-        /// Why, with the remedy.
+    Rejected {
+        /// Reason of the rejection, with the remedy.
         reason: String,
     },
-    /// The VM can't answer now.
-    #[snafu(display("{reason}; try again, or another VM"))]
-    Busy {
-        /// Why.
+    /// The connection failed, or the VM is temporarily unable to answer.
+    #[snafu(display("{reason}; try again, or use --vm to choose another VM"))]
+    Unavailable {
+        /// Reason of the failure.
         reason: String,
     },
-    /// The change has faults or conflicts and was not made.
+    /// The change is invalid or conflicts with the active configuration and was not applied.
     #[snafu(display("not applied: {detail}"))]
     NotApplied {
-        /// Why.
+        /// The faults or conflicts.
         detail: String,
     },
-    /// It is not known whether the change was made.
-    #[snafu(display("unknown: {detail} (--change-id {change_id})"))]
-    Unknown {
-        /// What to do.
+    /// The outcome of the change is unknown: it may or may not have been applied.
+    #[snafu(display("outcome unknown: {detail} (--change-id {change_id})"))]
+    OutcomeUnknown {
+        /// Explanation and remedy from the VM.
         detail: String,
-        /// Id to ask again with.
+        /// Id under which the change can be repeated or looked up.
         change_id: String,
     },
 }
 
-/// The call failed; nothing was changed.
-const FAILED: u8 = 1;
-/// The change was refused.
-const NOT_APPLIED: u8 = 3;
-/// It is not known whether the change was made.
-const UNKNOWN: u8 = 4;
-/// The VM can't be reached or can't answer now.
-const UNAVAILABLE: u8 = 5;
+/// Exit code: the call failed and nothing was changed.
+const EXIT_FAILED: u8 = 1;
+/// Exit code: the change was rejected.
+const EXIT_NOT_APPLIED: u8 = 3;
+/// Exit code: the outcome of the change is unknown.
+const EXIT_OUTCOME_UNKNOWN: u8 = 4;
+/// Exit code: the VM is unreachable or temporarily unable to answer.
+const EXIT_UNAVAILABLE: u8 = 5;
 
 impl CtlError {
-    /// The exit code of the error.
+    /// Returns the exit code of the process for this error.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
-            Self::NotApplied { .. } => NOT_APPLIED,
-            Self::Unknown { .. } => UNKNOWN,
-            Self::Unreachable { .. } | Self::Busy { .. } => UNAVAILABLE,
-            Self::File { .. } | Self::ChangeFile { .. } | Self::NoKey | Self::Refused { .. } => FAILED,
+            Self::NotApplied { .. } => EXIT_NOT_APPLIED,
+            Self::OutcomeUnknown { .. } => EXIT_OUTCOME_UNKNOWN,
+            Self::Unreachable { .. } | Self::Unavailable { .. } => EXIT_UNAVAILABLE,
+            Self::File { .. } | Self::ChangeFile { .. } | Self::MissingKey | Self::Rejected { .. } => EXIT_FAILED,
         })
     }
 }
@@ -90,17 +90,17 @@
 impl From<thrift::Error> for CtlError {
     fn from(error: thrift::Error) -> Self {
         let thrift::Error::User(fault) = &error else {
-            return Self::Busy { reason: format!("the connection failed: {error}") };
+            return Self::Unavailable { reason: format!("the connection failed: {error}") };
         };
         if let Some(Unauthenticated { remedy }) = fault.downcast_ref() {
-            return Self::Refused { reason: format!("not let in: {remedy}") };
+            return Self::Rejected { reason: format!("authentication failed: {remedy}") };
         }
         if let Some(BadRequest { field, remedy }) = fault.downcast_ref() {
-            return Self::Refused { reason: format!("{field}: {remedy}") };
+            return Self::Rejected { reason: format!("{field}: {remedy}") };
         }
         if let Some(Unavailable { reason, .. }) = fault.downcast_ref() {
-            return Self::Busy { reason: reason.clone() };
+            return Self::Unavailable { reason: reason.clone() };
         }
-        Self::Refused { reason: error.to_string() }
+        Self::Rejected { reason: error.to_string() }
     }
 }
--- a/havengrade_ctl/src/main.rs
+++ b/havengrade_ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `havengradectl`.
+//! Entry point of `havengradectl`.
 
 use std::process::ExitCode;
 
--- a/havengrade_ctl/src/print.rs
+++ b/havengrade_ctl/src/output.rs
@@ -1,4 +1,4 @@
-//! What commands print: tables for people, JSON for programs.
+//! Formats the output of commands: tables for people, JSON for programs.
 
 use comfy_table::{Table, presets};
 use havengrade_rpc::operators::{AuditEntry, ChangeReply, FleetStatus, ItemDifference, Plan, ShownItem};
@@ -6,7 +6,7 @@
 
 use crate::cli::Format;
 
-fn table(header: &[&str], rows: Vec<Vec<String>>) -> String {
+fn format_table(header: &[&str], rows: Vec<Vec<String>>) -> String {
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
     table.set_header(header.to_vec());
@@ -14,43 +14,45 @@
     format!("{table}\n")
 }
 
-fn pretty(value: &Value) -> String {
+fn format_json(value: &Value) -> String {
     format!("{}\n", serde_json::to_string_pretty(value).unwrap_or_default())
 }
 
-fn parse(json: Option<&String>) -> Value {
+/// Parses the JSON text of an item; an absent or malformed text becomes `null`.
+fn parse_json(json: Option<&String>) -> Value {
     json.and_then(|json| serde_json::from_str(json).ok()).unwrap_or_default()
 }
 
-/// What a change would alter.
-pub fn plan(plan: &Plan, format: Format) -> String {
+/// Formats the differences that a plan would make.
+pub fn format_plan(plan: &Plan, format: Format) -> String {
     if format == Format::Json {
         let differences: Vec<Value> = plan
             .differences
             .iter()
-            .map(|it| {
+            .map(|difference| {
                 json!({
-                    "kind": it.kind, "name": it.name,
-                    "before": parse(it.before_json.as_ref()), "after": parse(it.after_json.as_ref()),
+                    "kind": difference.kind, "name": difference.name,
+                    "before": parse_json(difference.before_json.as_ref()),
+                    "after": parse_json(difference.after_json.as_ref()),
                 })
             })
             .collect();
-        return pretty(&json!({ "differences": differences, "faults": plan.faults }));
+        return format_json(&json!({ "differences": differences, "faults": plan.faults }));
     }
     if plan.differences.is_empty() {
         return "nothing to change\n".to_owned();
     }
-    plan.differences.iter().map(difference).collect()
+    plan.differences.iter().map(format_difference).collect()
 }
 
-fn difference(it: &ItemDifference) -> String {
-    let (before, after) = (parse(it.before_json.as_ref()), parse(it.after_json.as_ref()));
-    let sign = match (it.before_json.is_some(), it.after_json.is_some()) {
+fn format_difference(difference: &ItemDifference) -> String {
+    let (before, after) = (parse_json(difference.before_json.as_ref()), parse_json(difference.after_json.as_ref()));
+    let sign = match (difference.before_json.is_some(), difference.after_json.is_some()) {
         (false, true) => '+',
         (true, false) => '-',
         _ => '~',
     };
-    let mut text = format!("{sign} {} {}\n", it.kind, it.name);
+    let mut text = format!("{sign} {} {}\n", difference.kind, difference.name);
     let empty = serde_json::Map::new();
     let (old, new) = (before.as_object().unwrap_or(&empty), after.as_object().unwrap_or(&empty));
     let mut fields: Vec<&String> = old.keys().chain(new.keys()).collect();
@@ -68,10 +70,10 @@
     text
 }
 
-/// What became of a change.
-pub fn change(reply: &ChangeReply, format: Format) -> String {
+/// Formats the outcome of an accepted change.
+pub fn format_change(reply: &ChangeReply, format: Format) -> String {
     if format == Format::Json {
-        return pretty(&json!({
+        return format_json(&json!({
             "status": "accepted", "change_id": reply.change_id, "offset": reply.offset, "in_force": reply.in_force,
             "live": reply.live, "lagging": reply.lagging,
         }));
@@ -89,50 +91,58 @@
     text
 }
 
-/// Items in force.
-pub fn items(items: &[ShownItem], format: Format) -> String {
+/// Formats active configuration items.
+pub fn format_items(items: &[ShownItem], format: Format) -> String {
     if format == Format::Json {
         let items: Vec<Value> = items
             .iter()
-            .map(|it| json!({ "kind": it.kind, "name": it.name, "offset": it.offset, "item": parse(Some(&it.json)) }))
+            .map(|item| {
+                json!({
+                    "kind": item.kind, "name": item.name, "offset": item.offset,
+                    "item": parse_json(Some(&item.json)),
+                })
+            })
             .collect();
-        return pretty(&Value::Array(items));
+        return format_json(&Value::Array(items));
     }
-    let row = |it: &ShownItem| vec![it.kind.clone(), it.name.clone(), number(it.offset), it.json.clone()];
-    table(&["kind", "name", "offset", "item"], items.iter().map(row).collect())
+    let to_row =
+        |item: &ShownItem| vec![item.kind.clone(), item.name.clone(), format_number(item.offset), item.json.clone()];
+    format_table(&["kind", "name", "offset", "item"], items.iter().map(to_row).collect())
 }
 
-fn number(number: Option<i64>) -> String {
+/// Formats an optional number; an absent one becomes an empty cell.
+fn format_number(number: Option<i64>) -> String {
     number.map(|number| number.to_string()).unwrap_or_default()
 }
 
-/// The audit trail; for programs a JSON object a line.
-pub fn audit(entries: &[AuditEntry], format: Format) -> String {
+/// Formats the audit trail. JSON output has one object per line.
+pub fn format_audit(entries: &[AuditEntry], format: Format) -> String {
     if format == Format::Json {
-        let line = |it: &AuditEntry| {
+        let to_line = |entry: &AuditEntry| {
             let value = json!({
-                "offset": it.offset, "at_unix_ms": it.at_unix_ms, "change_id": it.change_id, "author": it.author,
-                "reason": it.reason, "effect": it.effect, "detail": it.detail, "scopes": it.scopes,
+                "offset": entry.offset, "at_unix_ms": entry.at_unix_ms, "change_id": entry.change_id,
+                "author": entry.author, "reason": entry.reason, "effect": entry.effect,
+                "detail": entry.detail, "scopes": entry.scopes,
             });
             format!("{value}\n")
         };
-        return entries.iter().map(line).collect();
+        return entries.iter().map(to_line).collect();
     }
-    let row = |it: &AuditEntry| {
+    let to_row = |entry: &AuditEntry| {
         vec![
-            it.offset.to_string(),
-            it.author.clone(),
-            it.effect.clone(),
-            it.reason.clone(),
-            it.scopes.join(", "),
-            it.detail.clone(),
+            entry.offset.to_string(),
+            entry.author.clone(),
+            entry.effect.clone(),
+            entry.reason.clone(),
+            entry.scopes.join(", "),
+            entry.detail.clone(),
         ]
     };
-    table(&["offset", "author", "effect", "reason", "scopes", "detail"], entries.iter().map(row).collect())
+    format_table(&["offset", "author", "effect", "reason", "scopes", "detail"], entries.iter().map(to_row).collect())
 }
 
-/// The fleet.
-pub fn status(status: &FleetStatus, format: Format) -> String {
+/// Formats the state of all VMs.
+pub fn format_status(status: &FleetStatus, format: Format) -> String {
     if format == Format::Json {
         let vms: Vec<Value> = status
             .vms
@@ -145,12 +155,12 @@
                 })
             })
             .collect();
-        return pretty(&json!({
+        return format_json(&json!({
             "answered_by": status.answered_by, "revision": status.revision, "log_reachable": status.log_reachable,
             "vms": vms,
         }));
     }
-    let row = |vm: &havengrade_rpc::operators::VmStatus| {
+    let to_row = |vm: &havengrade_rpc::operators::VmStatus| {
         let state = match (vm.live, vm.draining, vm.ready) {
             (false, _, _) => "gone",
             (true, true, _) => "draining",
@@ -161,17 +171,17 @@
             vm.vm.clone(),
             vm.failure_domain.clone(),
             state.to_owned(),
-            number(vm.revision),
+            format_number(vm.revision),
             format!("{} ms", vm.staleness_ms),
             vm.in_progress.to_string(),
         ]
     };
     let log = if status.log_reachable { "answers" } else { "does not answer" };
-    let rows = status.vms.iter().map(row).collect();
+    let rows = status.vms.iter().map(to_row).collect();
     format!(
         "answered by {}; revision {}; the log service {log}\n{}",
         status.answered_by,
-        number(status.revision),
-        table(&["vm", "failure domain", "state", "revision", "staleness", "in progress"], rows)
+        format_number(status.revision),
+        format_table(&["vm", "failure domain", "state", "revision", "staleness", "in progress"], rows)
     )
 }
--- a/havengrade_ctl/tests/explain.rs
+++ b/havengrade_ctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! What became of a request is told from the lines of several VMs.
+//! `explain` reconstructs the outcome of requests from the log lines of several VMs.
 #![allow(clippy::unwrap_used)]
 
 use havengrade_ctl::explain::explain;
@@ -25,17 +25,17 @@
 }
 
 #[test]
-fn lines_stand_in_their_order_with_the_beliefs_of_their_vm() {
+fn lines_are_sorted_by_time_with_events_of_their_vm() {
     let text = explain(LOGS, "r1");
-    let places: Vec<usize> = ["believed endpoints changed", "try failed", "request refused", "cause:"]
+    let positions: Vec<usize> = ["believed endpoints changed", "try failed", "request refused", "cause:"]
         .map(|part| text.find(part).unwrap())
         .into();
-    assert!(places.is_sorted(), "{text}");
-    assert!(!text.contains("gained=other"), "another VM's beliefs: {text}");
+    assert!(positions.is_sorted(), "{text}");
+    assert!(!text.contains("gained=other"), "event of another VM is shown: {text}");
 }
 
 #[test]
-fn each_end_has_its_cause() {
+fn each_outcome_has_its_cause() {
     assert!(cause("r1").contains("it may have run, after tries that failed: connection lost"));
     assert!(cause("r2").contains("endpoint e2 of version v1 answered 500 after 20 ms"));
     assert!(cause("r3").contains("the stream stalled after 2100 ms; first event after 90 ms, taken up again 1 times"));
