--- a/havengrade_core/src/published/relay.rs
+++ b/havengrade_core/src/published/relay.rs
@@ -1,8 +1,8 @@
 //! Relay of the store's content between VMs: a few VMs read the store, and the others ask them and read only what
 //! they miss.
 //!
-//! A VM that asks computes the age of an answer from the time of its question by its own clock, so that an answer
-//! that was delayed in transit never looks newer than it is.
+//! A VM that sends a store query computes the age of the answer from the time of its query by its own clock, so that an
+//! answer that was delayed in transit never appears newer than it is.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -47,7 +47,7 @@
 const STALE_READER_AGE: Duration = Duration::from_millis(1600);
 /// Fallback readers that a VM remembers.
 const MAX_FALLBACKS: usize = 2;
-/// Consecutive questions without a useful answer after which a reader is skipped; single datagrams are lost now and
+/// Consecutive queries without a useful answer after which a reader is skipped; single datagrams are lost now and
 /// then.
 const MISSES_BEFORE_SKIP: u32 = 2;
 /// Initial time for which such a reader is skipped; each further miss doubles it.
@@ -211,7 +211,7 @@
 
     /// The VM to ask next. Readers take turns, so that what one of them misses comes from another.
     ///
-    /// While there are fallback readers, every other question goes to one of them.
+    /// While there are fallback readers, every other query goes to one of them.
     pub fn next_to_ask(&mut self, readers: &[&VmId]) -> Option<VmId> {
         self.turn = self.turn.wrapping_add(1);
         if self.turn.is_multiple_of(2)
@@ -267,7 +267,7 @@
     }
 }
 
-/// The time at which a view was known to be up to date, from the age in an answer to a question that was asked at
+/// The time at which a view was known to be up to date, from the age in the answer to a query that was sent at
 /// `asked`.
 ///
 /// ```
