--- a/havengrade_core/src/published/likelihood.rs
+++ b/havengrade_core/src/published/likelihood.rs
@@ -154,7 +154,7 @@
         add(&mut all, &ratios);
         add(by_route.entry(route_of(kind)).or_default(), &ratios);
     }
-    // A version may be bad by a single criterion, so that the mean over the criteria is taken last.
+    // A version may be bad by a single criterion, so the mean over the criteria is computed last.
     best(log_mean(&all), by_route.values().map(log_mean))
 }
 
--- a/havengrade_router/src/published/event_stream.rs
+++ b/havengrade_router/src/published/event_stream.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Records the time per event of a stream that ended, or that nobody reads any longer, before it was measured.
+    /// Records the time per event of a stream that ended or was abandoned before it was measured.
     fn record_remaining_event_time(&mut self, cx: &PublishedContext, request: &ActiveRequest) {
         if let Some(pause) = self.event_timer.finish(cx.shared.clock.now()) {
             record_event_time(cx, request, &self.attempt, pause);
--- a/havengrade_router/src/published/event_timer.rs
+++ b/havengrade_router/src/published/event_timer.rs
@@ -28,7 +28,7 @@
 
     /// The mean time per event if it has not been returned yet and events were received.
     ///
-    /// `now` is the time at which the stream ended, or from which nobody waits for it any longer.
+    /// `now` is the time at which the stream ended or was abandoned.
     pub(super) fn finish(&mut self, now: SystemTime) -> Option<Duration> {
         let since = self.first_at.filter(|_| !self.is_measured && self.events > 0)?;
         self.is_measured = true;
--- a/havengrade_router/src/published/ports.rs
+++ b/havengrade_router/src/published/ports.rs
@@ -156,7 +156,7 @@
     Publication(Publication),
     /// Order to roll a service out to a new version.
     Rollout(RolloutOrder),
-    /// Failure domains that are emptied or taken back into use.
+    /// Orders to empty failure domains or to use them again.
     Domains(DomainEvent),
 }
 
--- a/havengrade_router/src/services/evidence.rs
+++ b/havengrade_router/src/services/evidence.rs
@@ -48,7 +48,7 @@
 pub(crate) struct EvidenceState {
     cx: Context,
     evidence: Evidence,
-    /// Keys of the own tallies, and whether each has changed since it was last taken.
+    /// Keys of the own tallies, and whether each has changed since `take_own_tallies` last returned it.
     own_keys: BTreeMap<TallyKey, bool>,
     /// Whether a tally has changed since the last publication.
     is_dirty: bool,
--- a/havengrade_router/src/services/peers/client.rs
+++ b/havengrade_router/src/services/peers/client.rs
@@ -68,8 +68,8 @@
             let reply = send_request(cx, &mut stream, bytes).await?;
             Some((stream, reply))
         };
-        // After a failure, a late reply could be taken for the reply to the next request, so the connection is
-        // only kept after a success.
+        // After a failure, a late reply could be mistaken for the reply to the next request, so the connection
+        // is only kept after a success.
         let (stream, reply) = timeout(REPLY_TIMEOUT, attempts).await.ok().flatten()?;
         *connection = Some(stream);
         Some(reply)
--- a/havengrade_router/src/traffic/execution.rs
+++ b/havengrade_router/src/traffic/execution.rs
@@ -344,8 +344,8 @@
     Some(session::sign(&session, key))
 }
 
-/// Bills the answer, and returns its outcome only once the bill is stored or held by peers, so that the caller isn't
-/// told of a complete answer before.
+/// Bills the answer, and returns its outcome only once the bill is stored or held by peers, so that no answer
+/// is reported complete to the caller before that.
 async fn finish(
     request: &ActiveRequest,
     version: &VersionId,
