--- a/havengrade_router/src/published/ports.rs
+++ b/havengrade_router/src/published/ports.rs
@@ -156,7 +156,7 @@
     Publication(Publication),
     /// Order to roll a service out to a new version.
     Rollout(RolloutOrder),
-    /// Orders to empty failure domains or to use them again.
+    /// Change of the emptied failure domains, or the list of all of them.
     Domains(DomainEvent),
 }
 
