--- a/havengrade_dev/tests/rollout.rs
+++ b/havengrade_dev/tests/rollout.rs
@@ -7,7 +7,7 @@
 
 use havengrade_core::config::{BaseRevision, Change, Item, Rollout, RolloutState, ScopedChange};
 use havengrade_dev::scenario::{CHEAP, CHEAP_NEXT, OPERATOR, OPERATOR_KEY};
-use havengrade_router::services::operators::answer;
+use havengrade_router::services::operators::execute_call;
 use havengrade_rpc::{OperatorCall, operators::Credentials};
 use support::{Bench, chat};
 use tokio::time::sleep;
@@ -26,7 +26,7 @@
     let changes_json = serde_json::to_string(&[ScopedChange { base: BaseRevision::Absent, change }]).unwrap();
     let credentials = Credentials::new(OPERATOR.to_owned(), OPERATOR_KEY.to_owned());
     let apply = OperatorCall::Apply { change_id: "begin".into(), reason: "new version".into(), changes_json };
-    answer(bench.fleet.routers["vm-1"].context(), &credentials, apply).await.unwrap();
+    execute_call(bench.fleet.routers["vm-1"].context(), &credentials, apply).await.unwrap();
 }
 
 async fn send(bench: &Bench, count: usize, tag: &str) {
@@ -63,7 +63,7 @@
     assert!(before > 0);
     send(&bench, 60, "after").await;
     assert_eq!(started(&bench), before, "no new request goes to the halted version");
-    let records = bench.fleet.log.records(havengrade_router::platform::Stream::Config);
+    let records = bench.fleet.log.records(havengrade_router::platform::LogStream::Config);
     let halts: std::collections::BTreeSet<&str> =
         records.iter().filter_map(|record| record.split("\"change_id\":\"halt-").nth(1)).collect();
     assert!(!halts.is_empty());
--- a/havengrade_router/src/launch.rs
+++ b/havengrade_router/src/launch.rs
@@ -1,4 +1,4 @@
-//! What the programs of the router share: settings, threads, signals and exit codes.
+//! Launch of the router programs: settings, runtimes, signals and exit codes.
 
 use std::{convert::Infallible, io, path::Path, process::ExitCode, thread, time::Duration};
 
@@ -11,40 +11,40 @@
 use crate::{
     cli::Options,
     logging, metrics,
-    settings::{Settings, SettingsFile, differences},
+    settings::{Settings, SettingsFile, changed_keys},
 };
 
-/// The router did not start.
-pub const NOT_STARTED: u8 = 1;
-/// The settings have faults.
-pub const FAULTY_SETTINGS: u8 = 3;
-/// The planned stop reached its limit.
-pub const STOPPED_LATE: u8 = 4;
-/// A second signal cut the planned stop short.
-pub const STOPPED_AT_ONCE: u8 = 5;
+/// Exit code of a router that failed to start.
+pub const EXIT_NOT_STARTED: u8 = 1;
+/// Exit code for invalid settings.
+pub const EXIT_FAULTY_SETTINGS: u8 = 3;
+/// Exit code of a planned stop that reached its time limit.
+pub const EXIT_DRAIN_TIMEOUT: u8 = 4;
+/// Exit code of a planned stop that a second signal cut short.
+pub const EXIT_FORCED: u8 = 5;
 
-/// Time between two looks at whether the settings file has changed without a signal.
-const FILE_LOOK: Duration = Duration::from_secs(5);
+/// Interval at which the settings file is checked for changes without a signal.
+const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The settings that a program starts with, and the file that they came from.
-pub struct Start {
-    /// The settings.
+/// The initial settings of a program with their file.
+pub struct LaunchSettings {
+    /// Settings read from the file.
     pub settings: Settings,
-    /// Their file.
+    /// Settings file.
     pub file: SettingsFile,
 }
 
-/// Does what the options say; `serve` runs on this thread, with another runtime for traffic at its side.
-pub fn launch(options: &Options, serve: impl AsyncFnOnce(Start, &Handle) -> ExitCode) -> ExitCode {
+/// Runs a program with its command line options; `serve` runs on this thread and gets a second runtime for traffic.
+pub fn launch(options: &Options, serve: impl AsyncFnOnce(LaunchSettings, &Handle) -> ExitCode) -> ExitCode {
     if options.print_defaults {
-        print!("{}", Settings::print_defaults());
+        print!("{}", Settings::default_toml());
         return ExitCode::SUCCESS;
     }
     let (file, settings) = match SettingsFile::open(options.settings.as_deref().unwrap_or(Path::new(""))) {
         Ok(opened) => opened,
         Err(error) => {
             eprintln!("{error}");
-            return ExitCode::from(FAULTY_SETTINGS);
+            return ExitCode::from(EXIT_FAULTY_SETTINGS);
         },
     };
     if options.check {
@@ -53,11 +53,11 @@
     }
     logging::init(&settings.logging, &settings.vm.id);
     metrics::install();
-    run(Start { settings, file }, serve)
+    run(LaunchSettings { settings, file }, serve)
 }
 
-/// Runs traffic on threads of its own and everything else on this one.
-fn run(start: Start, serve: impl AsyncFnOnce(Start, &Handle) -> ExitCode) -> ExitCode {
+/// Starts the traffic runtime on its own threads and runs everything else on this thread.
+fn run(start: LaunchSettings, serve: impl AsyncFnOnce(LaunchSettings, &Handle) -> ExitCode) -> ExitCode {
     let mut traffic = Builder::new_multi_thread();
     traffic.enable_all().thread_name("traffic");
     if start.settings.vm.traffic_threads > 0 {
@@ -65,32 +65,32 @@
     }
     let control = Builder::new_current_thread().enable_all().build();
     let (Ok(traffic), Ok(control)) = (traffic.build(), control) else {
-        log::error!("the threads could not be started");
-        return ExitCode::from(NOT_STARTED);
+        log::error!("failed to create the async runtimes");
+        return ExitCode::from(EXIT_NOT_STARTED);
     };
     let code = control.block_on(serve(start, traffic.handle()));
-    // Traffic may still write to callers who are slow; it is not waited for.
+    // Traffic may still be writing to slow callers, so the shutdown of its runtime does not block the exit.
     thread::spawn(move || drop(traffic));
     code
 }
 
-/// The signals by which a router is told to stop.
+/// Receiver of the signals that stop a router.
 pub struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl StopSignals {
-    /// Begins to receive them.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// Those of the system, where signals can't be received.
+    /// The error of the operating system if a handler can't be installed.
     pub fn new() -> io::Result<Self> {
         Ok(Self { terminate: signal(SignalKind::terminate())?, interrupt: signal(SignalKind::interrupt())? })
     }
 
-    /// Waits for the next one.
+    /// Waits for the next signal.
     pub async fn next(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {},
@@ -98,46 +98,47 @@
         }
     }
 
-    /// The first signal begins a planned stop; the second ends it at once.
-    pub async fn stop(&mut self, begin: impl FnOnce()) -> ExitCode {
+    /// Calls `begin` at the first signal, to begin a planned stop, and returns at the second one, which ends the stop
+    /// immediately.
+    pub async fn wait_for_forced_stop(&mut self, begin: impl FnOnce()) -> ExitCode {
         self.next().await;
         begin();
         self.next().await;
-        ExitCode::from(STOPPED_AT_ONCE)
+        ExitCode::from(EXIT_FORCED)
     }
 }
 
-/// Exit code of a planned stop by whether everything ended in time.
-pub fn stopped(is_whole: bool) -> ExitCode {
-    if is_whole { ExitCode::SUCCESS } else { ExitCode::from(STOPPED_LATE) }
+/// Returns the exit code of a planned stop by whether all requests ended in time.
+pub fn drain_exit_code(is_complete: bool) -> ExitCode {
+    if is_complete { ExitCode::SUCCESS } else { ExitCode::from(EXIT_DRAIN_TIMEOUT) }
 }
 
-/// Reads the settings file again at each signal to reload, and now and then, since it may change without one.
+/// Reloads the settings file at each reload signal and when a periodic check finds it changed.
 ///
-/// `take` is given settings without faults; faulty ones are logged, and what is in force stays.
-pub async fn follow_settings(start: &mut Start, mut hangup: Signal, take: impl Fn(&Settings)) -> Infallible {
+/// `apply` is called with valid settings only. Invalid ones are logged, and the current settings stay active.
+pub async fn watch_settings(start: &mut LaunchSettings, mut hangup: Signal, apply: impl Fn(&Settings)) -> Infallible {
     loop {
         let is_signal = tokio::select! {
             _ = hangup.recv() => true,
-            () = sleep(FILE_LOOK) => false,
+            () = sleep(FILE_CHECK_INTERVAL) => false,
         };
-        match start.file.changed() {
+        match start.file.reload() {
             Ok(Some(settings)) => {
-                log_differences(&start.settings, &settings);
+                log_changes(&start.settings, &settings);
                 logging::set_level(&settings.logging);
-                take(&settings);
+                apply(&settings);
                 start.settings = settings;
             },
-            Ok(None) if is_signal => log::info!("signal to reload: the settings are the same"),
+            Ok(None) if is_signal => log::info!("received a reload signal; settings are unchanged"),
             Ok(None) => {},
-            Err(error) => log::error!("the settings in force stay: {error}"),
+            Err(error) => log::error!("failed to reload the settings; keeping the current ones: {error}"),
         }
     }
 }
 
-fn log_differences(old: &Settings, new: &Settings) {
-    for (key, is_live) in differences(old, new) {
-        let effect = if is_live { "now" } else { "with the next start" };
-        log::info!(key = key.as_str(); "setting changed, it takes effect {effect}");
+fn log_changes(old: &Settings, new: &Settings) {
+    for (key, is_live) in changed_keys(old, new) {
+        let effect = if is_live { "now" } else { "at the next start" };
+        log::info!(key = key.as_str(); "setting changed; takes effect {effect}");
     }
 }
--- a/havengrade_router/src/platform/rating.rs
+++ b/havengrade_router/src/platform/rating.rs
@@ -6,12 +6,12 @@
 use havengrade_core::ids::{ClassId, Permille, VersionId};
 use serde::{Deserialize, Serialize};
 
-use crate::http::{HttpClient, HttpError, Reuse, post};
+use crate::http::{ConnectionReuse, HttpClient, HttpError, post};
 
-/// An answer to be rated.
+/// A request to rate an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RatingRequest {
-    /// Request class.
+    /// Class of the request.
     pub class: ClassId,
     /// Version that gave the answer.
     pub version: VersionId,
@@ -23,16 +23,16 @@
 
 /// The rating service.
 #[async_trait]
-pub trait Rating: Send + Sync {
-    /// Rates an answer, in thousandths.
+pub trait RatingService: Send + Sync {
+    /// Rates an answer; returns its score in thousandths.
     async fn rate(&self, request: &RatingRequest) -> Result<Permille, HttpError>;
 }
 
 /// The rating service over HTTP.
-pub struct HttpRating {
+pub struct HttpRatingService {
     client: HttpClient,
     address: SocketAddr,
-    limit: Duration,
+    timeout: Duration,
 }
 
 #[derive(Deserialize)]
@@ -40,25 +40,26 @@
     score: Permille,
 }
 
-/// Largest answer of the service, in bytes.
-const MAX_ANSWER: usize = 64 << 10;
+/// Largest answer of the rating service, in bytes.
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-impl HttpRating {
-    /// The rating service at an address; a call fails after `limit`.
-    pub fn new(client: HttpClient, address: SocketAddr, limit: Duration) -> Self {
-        Self { client, address, limit }
+impl HttpRatingService {
+    /// A client of the rating service at an address; a call fails after `timeout`.
+    pub fn new(client: HttpClient, address: SocketAddr, timeout: Duration) -> Self {
+        Self { client, address, timeout }
     }
 }
 
 #[async_trait]
-impl Rating for HttpRating {
+impl RatingService for HttpRatingService {
     async fn rate(&self, request: &RatingRequest) -> Result<Permille, HttpError> {
         let json = serde_json::to_string(request).unwrap_or_default();
         let call = post(&format!("http://{}/ratings", self.address), json);
-        let answer = self.client.call(self.address, call, Reuse::Allowed, self.limit, MAX_ANSWER).await?;
-        let body = answer.expect_ok(self.address)?;
+        let answer =
+            self.client.call(self.address, call, ConnectionReuse::Allowed, self.timeout, MAX_ANSWER_BYTES).await?;
+        let body = answer.into_ok_body(self.address)?;
         let rated: Rated = serde_json::from_slice(&body)
-            .map_err(|error| HttpError::BrokenOff { address: self.address, reason: error.to_string() })?;
+            .map_err(|error| HttpError::InvalidBody { address: self.address, reason: error.to_string() })?;
         Ok(rated.score)
     }
 }
--- a/havengrade_router/src/published/active_request.rs
+++ b/havengrade_router/src/published/active_request.rs
@@ -1,4 +1,4 @@
-//! A request on its way: what is known of it, and how it is let in.
+//! A request in progress: its state and its admission.
 
 use std::{
     sync::OnceLock,
@@ -19,59 +19,61 @@
 use hyper::{Version, body::Incoming, header, http::request};
 use tokio::time::timeout;
 
-use crate::published::{context::PublishedContext, ports::RequestAttributes, refusal::Refusal, stopping::is_too_late};
+use crate::published::{
+    context::PublishedContext, ports::RequestAttributes, refusal::Refusal, shutdown::may_outlast_shutdown,
+};
 
-/// Time after which a first event is looked for elsewhere, as a multiple of the route's target.
-const FIRST_EVENT_FACTOR: f64 = 1.5;
-/// Time after which a whole answer is looked for elsewhere, as a multiple of the route's target.
-const WHOLE_ANSWER_FACTOR: f64 = 3.0;
-/// Age of the configuration up to which an unknown route or key is believed to be unknown.
-const TRUSTED_AGE: Duration = Duration::from_millis(2500);
+/// Time to the first event after which another endpoint is tried, as a multiple of the route's target.
+const FIRST_EVENT_TIMEOUT_FACTOR: f64 = 1.5;
+/// Time to a whole answer after which another endpoint is tried, as a multiple of the route's target.
+const WHOLE_ANSWER_TIMEOUT_FACTOR: f64 = 3.0;
+/// Age of the configuration up to which a route or key that it lacks is refused as unknown.
+const MAX_TRUSTED_CONFIG_AGE: Duration = Duration::from_millis(2500);
 
-/// A request on its way.
+/// A request in progress.
 #[derive(Clone)]
 pub(super) struct ActiveRequest {
-    /// Id of this attempt of the caller.
+    /// Id that the caller gave this attempt.
     pub(super) id: String,
-    /// The request's head.
+    /// Method, URI and headers.
     pub(super) head: request::Parts,
-    /// Its whole body.
+    /// Whole body.
     pub(super) body: Bytes,
-    /// What its headers say.
-    pub(super) facts: RequestAttributes,
-    /// Its route.
+    /// Attributes that the caller's headers give.
+    pub(super) attributes: RequestAttributes,
+    /// Matched route.
     pub(super) route: PublishedRoute,
-    /// The service that answers.
+    /// Service that answers.
     pub(super) service: ServiceId,
-    /// Client account.
+    /// Client account; none where the route needs no key.
     pub(super) account: Option<AccountId>,
-    /// Urgency, 0 before 1.
+    /// Priority; 0 is the most urgent.
     pub(super) priority: u8,
     /// Model that the router chose.
     pub(super) model: Option<String>,
-    /// When it arrived.
-    pub(super) arrived: SystemTime,
-    /// When its answer must have ended.
-    pub(super) limit: SystemTime,
-    /// Whether the next try was taken out of the retry budget already.
-    pub(super) has_paid: bool,
-    /// Whether it is the one by which a request that was held back is tried once more.
-    pub(super) is_trial: bool,
-    /// What it is known by, once that was asked for.
+    /// When its head was read.
+    pub(super) received_at: SystemTime,
+    /// Time by which the answer must be complete.
+    pub(super) deadline: SystemTime,
+    /// Whether the retry budget has already been charged for the next attempt.
+    pub(super) has_reserved_retry: bool,
+    /// Whether this is the trial that decides if a quarantined request is released.
+    pub(super) is_quarantine_trial: bool,
+    /// Cached result of [`Self::fingerprint`].
     fingerprint: OnceLock<RequestFingerprint>,
-    /// Tries so far.
+    /// Attempts so far.
     pub(super) attempts: Attempts,
-    /// Endpoints that were tried.
-    pub(super) tried: Vec<EndpointId>,
+    /// Endpoints of the attempts so far.
+    pub(super) tried_endpoints: Vec<EndpointId>,
 }
 
 impl ActiveRequest {
-    /// Whether it needs a key that holds.
-    pub(super) fn is_keyed(&self) -> bool {
+    /// Whether the request needs a valid key.
+    pub(super) fn requires_key(&self) -> bool {
         self.account.is_some()
     }
 
-    /// What it is known by over all its repeats: host, path, client account and body; worked out when it is first asked for.
+    /// Identifies the request across repeats, by method, host, path, client account and body; computed on first use.
     pub(super) fn fingerprint(&self) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             let host = self.head.headers.get(header::HOST).map(|host| host.as_bytes().to_ascii_lowercase());
@@ -86,27 +88,27 @@
         })
     }
 
-    /// Time until its answer must have ended.
+    /// Time until the deadline.
     pub(super) fn time_left(&self, now: SystemTime) -> Duration {
-        self.limit.duration_since(now).unwrap_or_default()
+        self.deadline.duration_since(now).unwrap_or_default()
     }
 
-    /// Time for which an endpoint may be silent before another one is tried; all that is left where none may be.
-    pub(super) fn patience(&self, now: SystemTime) -> Duration {
-        let mut after = self.attempts.clone();
-        after.record(RunState::MayHaveRun);
+    /// Time to wait for an endpoint before another one is tried; all the time left if no further attempt is allowed.
+    pub(super) fn attempt_timeout(&self, now: SystemTime) -> Duration {
+        let mut attempts = self.attempts.clone();
+        attempts.record(RunState::MayHaveRun);
         let left = self.time_left(now);
-        if !after.may_try_again() {
+        if !attempts.may_try_again() {
             return left;
         }
         let factor = match self.route.shape {
-            AnswerShape::Events { .. } => FIRST_EVENT_FACTOR,
-            AnswerShape::Whole => WHOLE_ANSWER_FACTOR,
+            AnswerShape::Events { .. } => FIRST_EVENT_TIMEOUT_FACTOR,
+            AnswerShape::Whole => WHOLE_ANSWER_TIMEOUT_FACTOR,
         };
         self.route.target.mul_f64(factor).min(left)
     }
 
-    /// The refusal that says no more than is true.
+    /// Selects the refusal by whether it is guaranteed that the request did not run.
     pub(super) fn refusal(&self, if_not_run: Refusal, if_unknown: Refusal) -> Refusal {
         match self.attempts.guarantee() {
             Guarantee::NotRun => if_not_run,
@@ -115,30 +117,31 @@
     }
 }
 
-/// Reads a request and finds its route and account.
+/// Reads a request and determines its route, client account, deadline and model.
 pub(super) async fn admit(
     cx: &PublishedContext,
     head: request::Parts,
     body: Incoming,
-    facts: RequestAttributes,
-    arrived: SystemTime,
+    attributes: RequestAttributes,
+    received_at: SystemTime,
 ) -> Result<ActiveRequest, Refusal> {
     if !cx.shared.knows_routes() {
         return Err(Refusal::Starting);
     }
     let routes = cx.shared.routes.load_full();
     check_host(&head)?;
-    let id = facts.id.clone().ok_or(Refusal::Malformed)?;
+    let id = attributes.id.clone().ok_or(Refusal::Malformed)?;
     let host = head.headers.get(header::HOST).and_then(|value| value.to_str().ok()).unwrap_or_default();
-    let route = routes.find(host, head.uri.path()).ok_or_else(|| unknown(cx, Refusal::NoRoute, arrived))?.clone();
-    let account = find_account(cx, &routes, &route, &facts, arrived)?;
+    let route =
+        routes.find(host, head.uri.path()).ok_or_else(|| refuse_unknown(cx, Refusal::NoRoute, received_at))?.clone();
+    let account = find_account(cx, &routes, &route, &attributes, received_at)?;
     let service = route.service_for(&id).ok_or(Refusal::NoEndpoint)?.clone();
-    let patience = facts.time_limit.unwrap_or(route.time_limit).min(route.time_limit);
-    if is_too_late(cx, patience, arrived) {
+    let time_limit = attributes.time_limit.unwrap_or(route.time_limit).min(route.time_limit);
+    if may_outlast_shutdown(cx, time_limit, received_at) {
         return Err(Refusal::Stopping);
     }
     let limits = routes.limits();
-    let body = match timeout(patience, Limited::new(body, limits.body_bytes).collect()).await {
+    let body = match timeout(time_limit, Limited::new(body, limits.body_bytes).collect()).await {
         Ok(Ok(collected)) => collected.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => return Err(Refusal::TooLarge),
         Ok(Err(_)) => return Err(Refusal::Malformed),
@@ -149,61 +152,62 @@
         AnswerShape::Events { is_resumable: false } => Repeat::Never,
         AnswerShape::Whole => route.repeat,
     };
-    let may_ask_again = model_choice::may_escalate(&route, repeat == Repeat::Allowed, facts.last_event.is_some());
-    let model = facts
+    let may_escalate = model_choice::may_escalate(&route, repeat == Repeat::Allowed, attributes.last_event.is_some());
+    let model = attributes
         .lets_router_choose_model
-        .then(|| model_choice::initial_model(&route.models, may_ask_again).cloned())
+        .then(|| model_choice::initial_model(&route.models, may_escalate).cloned())
         .flatten();
-    let (account, own_priority) = account.unzip();
+    let (account, account_priority) = account.unzip();
     Ok(ActiveRequest {
         id,
         attempts: Attempts::new(repeat, route.max_tries),
-        priority: own_priority.flatten().unwrap_or(route.priority),
-        limit: arrived + patience,
+        priority: account_priority.flatten().unwrap_or(route.priority),
+        deadline: received_at + time_limit,
         head,
         body,
-        facts,
+        attributes,
         route,
         service,
         account,
         model,
-        arrived,
-        has_paid: false,
-        is_trial: false,
+        received_at,
+        has_reserved_retry: false,
+        is_quarantine_trial: false,
         fingerprint: OnceLock::new(),
-        tried: Vec::new(),
+        tried_endpoints: Vec::new(),
     })
 }
 
-/// A refusal as unknown, unless the configuration is too old to say so.
-fn unknown(cx: &PublishedContext, refusal: Refusal, now: SystemTime) -> Refusal {
-    let is_trusted = cx.shared.config_age(now).is_some_and(|age| age <= TRUSTED_AGE);
+/// Returns the given refusal, or [`Refusal::StaleConfig`] if the configuration is too old for it.
+fn refuse_unknown(cx: &PublishedContext, refusal: Refusal, now: SystemTime) -> Refusal {
+    let is_trusted = cx.shared.config_age(now).is_some_and(|age| age <= MAX_TRUSTED_CONFIG_AGE);
     if is_trusted { refusal } else { Refusal::StaleConfig }
 }
 
-type Identity = Option<(AccountId, Option<u8>)>;
+/// Client account and its priority; none where the route needs no key.
+type AccountAndPriority = Option<(AccountId, Option<u8>)>;
 
 fn find_account(
     cx: &PublishedContext,
     routes: &RouteTable,
     route: &PublishedRoute,
-    facts: &RequestAttributes,
+    attributes: &RequestAttributes,
     now: SystemTime,
-) -> Result<Identity, Refusal> {
+) -> Result<AccountAndPriority, Refusal> {
     if route.is_public || !routes.needs_keys() {
         return Ok(None);
     }
-    let account = facts.key.as_deref().and_then(|key| routes.account(key));
-    let account = account.ok_or_else(|| unknown(cx, Refusal::UnknownKey, now))?;
+    let account = attributes.key.as_deref().and_then(|key| routes.account(key));
+    let account = account.ok_or_else(|| refuse_unknown(cx, Refusal::UnknownKey, now))?;
     if !cx.shared.may_use_key(now) {
         return Err(Refusal::StaleConfig);
     }
     Ok(Some((account.name.clone(), account.priority)))
 }
 
-/// Refuses a head that names no host, or several.
+/// Refuses requests of other versions than HTTP/1.1 and those without exactly one host.
 fn check_host(head: &request::Parts) -> Result<(), Refusal> {
     let hosts = head.headers.get_all(header::HOST).iter().count();
-    let is_plain = hosts == 1 && head.version == Version::HTTP_11;
-    if is_plain { Ok(()) } else { Err(Refusal::Malformed) }
+    let is_valid = hosts == 1 && head.version == Version::HTTP_11;
+    if is_valid { Ok(()) } else { Err(Refusal::Malformed) }
 }
--- a/havengrade_router/src/published/attempt.rs
+++ b/havengrade_router/src/published/attempt.rs
@@ -1,4 +1,4 @@
-//! One try at an endpoint: the request is sent, and the head of its answer is checked.
+//! One attempt at an endpoint: sends the request and checks the head of the answer.
 
 use std::time::{Duration, SystemTime};
 
@@ -7,172 +7,181 @@
 use tokio::time::timeout;
 
 use crate::{
-    endpoints::InFlight,
+    endpoints::InFlightGuard,
     published::{
         active_request::ActiveRequest,
         connection_pool::{ConnectionError, EndpointConnection},
         context::PublishedContext,
-        endpoint_choice::{ChosenEndpoint, work_at},
-        outcomes::{Awaited, note_broken},
+        endpoint_choice::{ChosenEndpoint, known_work},
+        outcomes::{FirstByteTimer, record_broken_outcome},
         ports::AnswerHead,
         quarantine::record_broken_attempt,
-        rewrite::encode,
+        rewrite::encode_request,
         signals,
     },
     quarantine::format_fingerprint,
 };
 
-/// Time for which a kept connection may have rested before a request that must not be repeated; a longer
-/// rest makes it likelier that the endpoint closes it just then.
-const MAX_IDLE_ONCE: Duration = Duration::from_millis(600);
-/// Time for which a kept connection may have rested before a request that may be repeated.
-const MAX_IDLE: Duration = Duration::from_secs(8);
-/// Time beyond a route's limit by which an endpoint may end its own work before we end it.
-pub(super) const LIMIT_SLACK: Duration = Duration::from_millis(30);
-/// Failures in a row after which an endpoint is passed over.
-const EJECT_AFTER: u32 = 2;
-/// Time for which it is passed over.
-const EJECT_FOR: Duration = Duration::from_secs(2);
+/// Longest idle time of a reused connection for a request that must not be repeated; after a longer time it is
+/// likelier that the endpoint closes the connection at the same moment.
+const MAX_IDLE_IF_NOT_REPEATABLE: Duration = Duration::from_millis(600);
+/// Longest idle time of a reused connection for a request that may be repeated.
+const MAX_IDLE_IF_REPEATABLE: Duration = Duration::from_secs(8);
+/// Time past the deadline that an endpoint is given to end the request by itself.
+pub(super) const DEADLINE_SLACK: Duration = Duration::from_millis(30);
+/// Consecutive failures after which an endpoint is ejected.
+const MAX_FAILURES_IN_A_ROW: u32 = 2;
+/// Time for which a failing endpoint is ejected.
+const EJECTION_TIME: Duration = Duration::from_secs(2);
 
-/// A try at an endpoint.
+/// A request that was sent to an endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
-    /// The endpoint.
+    /// Endpoint of the attempt.
     pub(super) endpoint: ListedEndpoint,
-    /// How busy it was.
+    /// Load of the endpoint when the request was sent.
     pub(super) load: Load,
     /// When the request was sent.
-    pub(super) sent: SystemTime,
+    pub(super) sent_at: SystemTime,
 }
 
-/// A try at an endpoint that got the head of an answer.
+/// An attempt that received the head of an answer.
 pub(super) struct AnsweredAttempt {
-    /// The try.
-    pub(super) made: Attempt,
-    /// The connection; dropping it ends the work on it.
-    pub(super) channel: EndpointConnection,
+    /// Attempt that is answered.
+    pub(super) attempt: Attempt,
+    /// Connection of the attempt; dropping it cancels the request at the endpoint.
+    pub(super) connection: EndpointConnection,
     /// Head of the answer.
     pub(super) head: response::Parts,
     /// Body of the answer.
     pub(super) body: Incoming,
-    /// Counts the request as in progress there.
-    pub(super) in_flight: InFlight,
-    /// The model's opinion of its answer, from 0 to 100.
+    /// Counts the request as in flight at the endpoint.
+    pub(super) in_flight: InFlightGuard,
+    /// Confidence of the model in its answer, from 0 to 100.
     pub(super) confidence: Option<u8>,
 }
 
 /// Sends a request to an endpoint and waits for the head of its answer.
-pub(super) async fn open(
+///
+/// # Errors
+///
+/// [`RunState`] of a request that got no usable answer: how far it may have run.
+pub(super) async fn send_attempt(
     cx: &PublishedContext,
-    job: &ActiveRequest,
+    request: &ActiveRequest,
     chosen: ChosenEndpoint,
     resume_after: Option<&str>,
 ) -> Result<AnsweredAttempt, RunState> {
     let endpoint = &chosen.endpoint;
-    let in_flight = cx.shared.endpoint_states.enter_with(&endpoint.id, chosen.tokens);
+    let in_flight = cx.shared.endpoint_states.begin_request_with_prompt(&endpoint.id, chosen.prompt_tokens);
     let begun = cx.shared.clock.now();
-    let max_idle = if job.attempts.is_repeatable() { MAX_IDLE } else { MAX_IDLE_ONCE };
-    let (mut channel, response, mut made) = match exchange(cx, job, &chosen, resume_after, max_idle).await {
-        // A kept connection may have ended just before; whether the endpoint lives, a new one tells.
-        Err(ConnectionError::NotSent { .. }) => exchange(cx, job, &chosen, resume_after, Duration::ZERO).await,
+    let max_idle = if request.attempts.is_repeatable() { MAX_IDLE_IF_REPEATABLE } else { MAX_IDLE_IF_NOT_REPEATABLE };
+    let (mut connection, response, mut attempt) = match exchange(cx, request, &chosen, resume_after, max_idle).await {
+        // The endpoint may have closed the idle connection; only a new one shows whether it is reachable.
+        Err(ConnectionError::NotSent { .. }) => exchange(cx, request, &chosen, resume_after, Duration::ZERO).await,
         exchanged => exchanged,
     }
-    .map_err(|error| failed(cx, job, endpoint, begun, &error))?;
+    .map_err(|error| record_connection_failure(cx, request, endpoint, begun, &error))?;
     let (head, body) = response.into_parts();
-    let facts = cx.shared.dialect.decode_answer(head.status, &head.headers);
-    if let Some(keep) = facts.keep_alive {
-        channel.set_idle_timeout(keep);
+    let answer_head = cx.shared.dialect.decode_answer(head.status, &head.headers);
+    if let Some(idle_timeout) = answer_head.keep_alive {
+        connection.set_idle_timeout(idle_timeout);
     }
-    signals::record_answer_signals(cx, job, endpoint, head.status, &facts);
-    if let Some(load) = facts.load {
-        // A VM that has just started does not know what the others sent there.
-        made.load = made.load.max(Load::of(load.running + load.waiting, endpoint.slots));
+    signals::record_answer_signals(cx, request, endpoint, head.status, &answer_head);
+    if let Some(load) = answer_head.load {
+        // A VM that has just started does not know the requests that other VMs have sent to the endpoint.
+        attempt.load = attempt.load.max(Load::of(load.running + load.waiting, endpoint.slots));
     }
-    check(cx, job, endpoint, head.status, &facts)?;
-    Ok(AnsweredAttempt { made, channel, head, body, in_flight, confidence: facts.confidence })
+    check_answer_head(cx, request, endpoint, head.status, &answer_head)?;
+    Ok(AnsweredAttempt { attempt, connection, head, body, in_flight, confidence: answer_head.confidence })
 }
 
-/// Sends a request over a connection that rested for less than `max_idle`, or a new one.
+/// Sends a request over a connection that was idle for less than `max_idle`, or a new one.
 async fn exchange(
     cx: &PublishedContext,
-    job: &ActiveRequest,
+    request: &ActiveRequest,
     ChosenEndpoint { endpoint, load, .. }: &ChosenEndpoint,
     resume_after: Option<&str>,
     max_idle: Duration,
 ) -> Result<(EndpointConnection, Response<Incoming>, Attempt), ConnectionError> {
     let now = cx.shared.clock.now();
-    let mut channel = cx.shared.connection_pool.acquire(&endpoint.id, endpoint.address, max_idle, now).await?;
-    let sent = cx.shared.clock.now();
-    let request = encode(cx, job, endpoint, resume_after, sent);
-    let made = Attempt { endpoint: endpoint.clone(), load: *load, sent };
-    let awaited = Awaited::new(cx, job, &made);
-    let Ok(response) = timeout(job.patience(sent) + LIMIT_SLACK, channel.send(request)).await else {
+    let mut connection = cx.shared.connection_pool.acquire(&endpoint.id, endpoint.address, max_idle, now).await?;
+    let sent_at = cx.shared.clock.now();
+    let outgoing = encode_request(cx, request, endpoint, resume_after, sent_at);
+    let attempt = Attempt { endpoint: endpoint.clone(), load: *load, sent_at };
+    let first_byte_timer = FirstByteTimer::new(cx, request, &attempt);
+    let Ok(response) = timeout(request.attempt_timeout(sent_at) + DEADLINE_SLACK, connection.send(outgoing)).await
+    else {
         return Err(ConnectionError::NoAnswer);
     };
-    awaited.end();
-    Ok((channel, response?, made))
+    first_byte_timer.stop();
+    Ok((connection, response?, attempt))
 }
 
-/// Tells an answer that can be used from one that can't.
-fn check(
+/// Checks that an endpoint ran the request and that the answer is authentic and belongs to it.
+fn check_answer_head(
     cx: &PublishedContext,
-    job: &ActiveRequest,
+    request: &ActiveRequest,
     endpoint: &ListedEndpoint,
     status: StatusCode,
-    facts: &AnswerHead,
+    answer_head: &AnswerHead,
 ) -> Result<(), RunState> {
-    let is_other = facts.request.as_ref().is_some_and(|id| *id != job.id);
-    if is_other {
-        log_try(job, endpoint, "the answer belongs to another request");
-        note_broken(cx, job, endpoint);
+    let is_for_other_request = answer_head.request.as_ref().is_some_and(|id| *id != request.id);
+    if is_for_other_request {
+        log_failed_attempt(request, endpoint, "the answer belongs to another request");
+        record_broken_outcome(cx, request, endpoint);
         return Err(RunState::MayHaveRun);
     }
-    if facts.run.is_surely_not_run() {
-        log_try(job, endpoint, if status == StatusCode::MISDIRECTED_REQUEST { "not the endpoint" } else { "full" });
+    if answer_head.run.is_surely_not_run() {
+        log_failed_attempt(
+            request,
+            endpoint,
+            if status == StatusCode::MISDIRECTED_REQUEST { "not the endpoint" } else { "full" },
+        );
         if status == StatusCode::MISDIRECTED_REQUEST {
-            fail(cx, endpoint);
-        } else if looks_free(cx, endpoint, facts)
+            record_failure(cx, endpoint);
+        } else if has_free_slots(cx, endpoint, answer_head)
             && let Some(slot) = cx.shared.endpoint_states.slot(&endpoint.id)
         {
-            slot.reject(cx.shared.clock.now());
+            slot.record_rejection(cx.shared.clock.now());
         }
         return Err(RunState::NotRun);
     }
-    if !facts.is_authentic {
-        log_try(job, endpoint, "the answer has no id or no signature");
-        note_broken(cx, job, endpoint);
+    if !answer_head.is_authentic {
+        log_failed_attempt(request, endpoint, "the answer has no id or no signature");
+        record_broken_outcome(cx, request, endpoint);
         return Err(RunState::MayHaveRun);
     }
     Ok(())
 }
 
-/// Whether an endpoint that turned a request away has room for it, by its own word or as far as is known.
+/// Whether an endpoint that rejected a request has free slots, by its reported load or else by the known work.
 ///
-/// One that is full looks full, and takes requests again as soon as some of its own have ended.
-fn looks_free(cx: &PublishedContext, endpoint: &ListedEndpoint, facts: &AnswerHead) -> bool {
-    let told = facts.load.map(|load| load.running + load.waiting);
-    let requests = told.unwrap_or_else(|| work_at(cx, endpoint).requests);
+/// A full endpoint needs no penalty: its load shows that it is full, and it accepts requests as soon as others end.
+fn has_free_slots(cx: &PublishedContext, endpoint: &ListedEndpoint, answer_head: &AnswerHead) -> bool {
+    let reported = answer_head.load.map(|load| load.running + load.waiting);
+    let requests = reported.unwrap_or_else(|| known_work(cx, endpoint).requests);
     requests < endpoint.slots
 }
 
-/// Notes a failure of the connection; tells how far the request got.
-fn failed(
+/// Records a failed connection and returns how far the request may have run.
+fn record_connection_failure(
     cx: &PublishedContext,
-    job: &ActiveRequest,
+    request: &ActiveRequest,
     endpoint: &ListedEndpoint,
     begun: SystemTime,
     error: &ConnectionError,
 ) -> RunState {
-    log_try(job, endpoint, &error.to_string());
+    log_failed_attempt(request, endpoint, &error.to_string());
     let state = run_state(error);
     if matches!(error, ConnectionError::Lost { .. }) {
-        note_broken(cx, job, endpoint);
+        record_broken_outcome(cx, request, endpoint);
     }
     if state == RunState::MayHaveRun {
-        record_broken_attempt(cx, job, endpoint, begun);
+        record_broken_attempt(cx, request, endpoint, begun);
     }
-    // One refused connection says more than a failed answer does.
-    fail_after(cx, endpoint, if state == RunState::NotSent { 1 } else { EJECT_AFTER });
+    // A single failed connect is stronger evidence of an unavailable endpoint than a failed answer.
+    record_failure_with_threshold(cx, endpoint, if state == RunState::NotSent { 1 } else { MAX_FAILURES_IN_A_ROW });
     state
 }
 
@@ -183,24 +192,26 @@
     }
 }
 
-pub(super) fn fail(cx: &PublishedContext, endpoint: &ListedEndpoint) {
-    fail_after(cx, endpoint, EJECT_AFTER);
+/// Records a failure of an endpoint, which is ejected after [`MAX_FAILURES_IN_A_ROW`].
+pub(super) fn record_failure(cx: &PublishedContext, endpoint: &ListedEndpoint) {
+    record_failure_with_threshold(cx, endpoint, MAX_FAILURES_IN_A_ROW);
 }
 
-/// Notes a failure; after so many in a row the endpoint is passed over for a time.
-fn fail_after(cx: &PublishedContext, endpoint: &ListedEndpoint, failures: u32) {
+/// Records a failure of an endpoint, which is ejected after `threshold` failures in a row.
+fn record_failure_with_threshold(cx: &PublishedContext, endpoint: &ListedEndpoint, threshold: u32) {
     if let Some(slot) = cx.shared.endpoint_states.slot(&endpoint.id) {
-        slot.fail(failures, EJECT_FOR, cx.shared.clock.now());
+        slot.record_failure(threshold, EJECTION_TIME, cx.shared.clock.now());
     }
 }
 
-pub(super) fn log_try(job: &ActiveRequest, endpoint: &ListedEndpoint, outcome: &str) {
+/// Logs a failed attempt and its reason.
+pub(super) fn log_failed_attempt(request: &ActiveRequest, endpoint: &ListedEndpoint, reason: &str) {
     log::info!(
-        request = job.id.as_str(),
+        request = request.id.as_str(),
         endpoint = endpoint.id.as_str(),
         version = endpoint.version.as_str(),
-        mark = format_fingerprint(job.fingerprint()).as_str(),
-        tries = job.tried.len();
-        "try failed: {outcome}"
+        mark = format_fingerprint(request.fingerprint()).as_str(),
+        tries = request.tried_endpoints.len();
+        "try failed: {reason}"
     );
 }
--- a/havengrade_router/src/published/takers.rs
+++ b/havengrade_router/src/published/feed_consumers.rs
@@ -1,4 +1,4 @@
-//! What becomes of what is followed: configurations, orders to roll out, and the list of endpoints.
+//! Applies the events of the store's feeds: configurations, roll-out orders, emptied failure domains and endpoints.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -24,51 +24,51 @@
     rollouts,
 };
 
-/// Takes what a feed brings.
-pub(super) trait Take<T>: Send + Sync + 'static {
-    /// How long a call of a reader may wait for something new.
-    fn wait(&self, cx: &PublishedContext) -> Duration;
+/// Applies the events of a feed to the state of the VM.
+pub(super) trait FeedConsumer<T>: Send + Sync + 'static {
+    /// Maximum time that a reader's long poll waits for new events.
+    fn read_wait(&self, cx: &PublishedContext) -> Duration;
 
-    /// Time between two calls of a reader.
-    fn pause(&self, cx: &PublishedContext) -> Duration;
+    /// Time between two reads of a reader.
+    fn read_interval(&self, cx: &PublishedContext) -> Duration;
 
-    /// Whether what is read grows with the fleet, so that the store can't bear that each VM reads it.
+    /// Whether the feed's size grows with the fleet, so that the store would be overloaded if every VM read it.
     fn grows_with_fleet(&self) -> bool {
         false
     }
 
-    /// Takes events, up to a position; nothing newer existed at `at`.
-    fn take(&mut self, cx: &PublishedContext, events: Vec<T>, position: u64, at: SystemTime);
+    /// Applies the events up to a position, which was the newest one at `at`.
+    fn apply(&mut self, cx: &PublishedContext, events: Vec<T>, position: u64, at: SystemTime);
 }
 
-/// Takes operators' configurations and orders.
-pub(super) struct Operators;
+/// Applies operators' configurations, roll-out orders and changes to the emptied failure domains.
+pub(super) struct OperatorConsumer;
 
-impl Take<OperatorEvent> for Operators {
-    fn wait(&self, cx: &PublishedContext) -> Duration {
+impl FeedConsumer<OperatorEvent> for OperatorConsumer {
+    fn read_wait(&self, cx: &PublishedContext) -> Duration {
         Duration::from_millis(cx.shared.published_settings().config_wait_ms)
     }
 
-    fn pause(&self, _cx: &PublishedContext) -> Duration {
+    fn read_interval(&self, _cx: &PublishedContext) -> Duration {
         Duration::ZERO
     }
 
-    fn take(&mut self, cx: &PublishedContext, events: Vec<OperatorEvent>, position: u64, at: SystemTime) {
-        let is_first_read = cx.shared.store.view().operators.is_none();
+    fn apply(&mut self, cx: &PublishedContext, events: Vec<OperatorEvent>, position: u64, at: SystemTime) {
+        let is_first_read = cx.shared.store.view().operators_position.is_none();
         let mut publications = Vec::new();
         for event in events {
             match event {
                 OperatorEvent::Publication(publication) => publications.push(publication),
-                OperatorEvent::Rollout(order) => take_order(cx, order, is_first_read),
-                OperatorEvent::Domains(event) => take_domains(cx, event),
+                OperatorEvent::Rollout(order) => apply_order(cx, order, is_first_read),
+                OperatorEvent::Domains(event) => apply_domains(cx, event),
             }
         }
-        // Last, since callers are let in once there is a configuration.
+        // Last, since the VM accepts callers as soon as it has a configuration.
         for publication in publications {
-            publish(cx, publication);
+            activate(cx, publication);
         }
-        cx.shared.store.view().operators = Some(position);
-        cx.shared.store.note_era(era(position));
+        cx.shared.store.view().operators_position = Some(position);
+        cx.shared.store.record_era(era(position));
         cx.shared.confirm_config(at);
         if is_first_read {
             cx.shared.notify_state_learned();
@@ -76,33 +76,33 @@
     }
 }
 
-/// Takes up an order to roll out a version.
-fn take_order(cx: &PublishedContext, order: RolloutOrder, is_old: bool) {
+/// Adds an order to roll out a version.
+fn apply_order(cx: &PublishedContext, order: RolloutOrder, is_from_before_start: bool) {
     let line = format!("{} to {}", order.service, order.version);
     if cx.shared.rollouts().add_order(order, cx.shared.clock.now()) {
         log::info!(order = line.as_str(); "roll-out ordered");
     }
-    if is_old {
+    if is_from_before_start {
         cx.shared.rollouts().set_has_earlier_orders();
         rollouts::evaluate_soon(cx);
     }
 }
 
-/// Takes which failure domains are emptied, and which are taken back.
-fn take_domains(cx: &PublishedContext, event: DomainEvent) {
+/// Updates the set of emptied failure domains.
+fn apply_domains(cx: &PublishedContext, event: DomainEvent) {
     let mut domains = EmptiedDomains::clone(&cx.shared.emptied_domains.load());
     let (emptied, refilled) = domains.apply(event, cx.shared.clock.now());
     cx.shared.emptied_domains.store(Arc::new(domains));
     for domain in emptied {
-        log::info!(domain = domain.as_str(); "failure domain is emptied: its endpoints get nothing");
+        log::info!(domain = domain.as_str(); "failure domain is emptied: its endpoints receive no requests");
     }
     for domain in refilled {
         log::info!(domain = domain.as_str(); "failure domain is taken back: its endpoints may be cold");
     }
 }
 
-/// Puts a configuration in force, unless a newer one is.
-fn publish(cx: &PublishedContext, publication: Publication) {
+/// Activates a configuration, unless the active one is at least as new.
+fn activate(cx: &PublishedContext, publication: Publication) {
     let known = cx.shared.routes.load().version();
     if publication.version <= known {
         return;
@@ -113,20 +113,22 @@
     cx.shared.set_routes(RouteTable::new(publication));
 }
 
-/// Takes changes of the list of endpoints; of a large service only a part is shown to traffic and told to other VMs.
+/// Applies changes to the endpoint list.
+///
+/// Of a large service, only a subset is used for traffic and sent to other VMs.
 #[derive(Default)]
-pub(super) struct Endpoints {
+pub(super) struct EndpointConsumer {
     directory: Directory,
     subset: EndpointSubset,
 }
 
-impl Take<DirectoryEvent> for Endpoints {
-    fn wait(&self, _cx: &PublishedContext) -> Duration {
-        // Endpoints write all the time, so that a call would hardly wait; calls are paused in between instead.
+impl FeedConsumer<DirectoryEvent> for EndpointConsumer {
+    fn read_wait(&self, _cx: &PublishedContext) -> Duration {
+        // Endpoints write all the time, so a long poll would return at once; reads are spaced by an interval instead.
         Duration::ZERO
     }
 
-    fn pause(&self, cx: &PublishedContext) -> Duration {
+    fn read_interval(&self, cx: &PublishedContext) -> Duration {
         Duration::from_millis(cx.shared.published_settings().endpoints_poll_ms)
     }
 
@@ -134,25 +136,25 @@
         true
     }
 
-    fn take(&mut self, cx: &PublishedContext, events: Vec<DirectoryEvent>, position: u64, at: SystemTime) {
+    fn apply(&mut self, cx: &PublishedContext, events: Vec<DirectoryEvent>, position: u64, at: SystemTime) {
         let now = cx.shared.clock.now();
-        let gone = self.used_and_gone(&events);
+        let removed = self.removed_in_use(&events);
         let (changes, has_changed) = self.directory.apply(events, at, now);
         let is_resized = has_changed && self.resize(cx);
-        let changes = self.used_changes(changes, &gone, is_resized, now);
+        let changes = self.changes_in_use(changes, &removed, is_resized, now);
         {
             let mut view = cx.shared.store.view();
             if !changes.is_empty() || has_changed {
                 let used = self.directory.listed(now).into_iter().filter(|endpoint| self.subset.includes(endpoint));
-                view.listed = used.collect();
+                view.listed_endpoints = used.collect();
             }
-            let listed = view.listed.len();
-            view.endpoints.record(&changes, position, listed);
+            let listed = view.listed_endpoints.len();
+            view.endpoint_changes.record(&changes, position, listed);
             view.is_restoring = self.directory.is_restoring(now);
-            view.endpoints_at = view.endpoints_at.max(at);
+            view.endpoints_confirmed_at = view.endpoints_confirmed_at.max(at);
         }
         if has_changed {
-            self.show(cx);
+            self.publish_usable(cx);
             cx.shared.send_limits().retain_listed(self.directory.all(), now);
         }
         cx.shared.set_endpoints_known();
@@ -162,32 +164,32 @@
     }
 }
 
-impl Endpoints {
-    /// Chooses anew how much of the list is used; tells whether that changes.
+impl EndpointConsumer {
+    /// Adjusts the size of the subset to the fleet; returns whether it changed.
     fn resize(&mut self, cx: &PublishedContext) -> bool {
         let next = self.subset.resized(self.directory.all(), cx.shared.peers().len() + 1);
         let is_resized = next != self.subset;
         if is_resized {
-            log_part(&self.directory, &next);
+            log_subset(&self.directory, &next);
         }
         self.subset = next;
         is_resized
     }
 
-    /// Endpoints that go by these events, of those that are used.
-    fn used_and_gone(&self, events: &[DirectoryEvent]) -> HashSet<EndpointId> {
-        let gone = events.iter().filter_map(|event| match event {
+    /// The endpoints of the subset that these events remove.
+    fn removed_in_use(&self, events: &[DirectoryEvent]) -> HashSet<EndpointId> {
+        let removed = events.iter().filter_map(|event| match event {
             DirectoryEvent::Gone(id) => self.directory.get(id),
             DirectoryEvent::Seen(_) | DirectoryEvent::All(_) | DirectoryEvent::Restored(_) => None,
         });
-        gone.filter(|endpoint| self.subset.includes(endpoint)).map(|endpoint| endpoint.id.clone()).collect()
+        removed.filter(|endpoint| self.subset.includes(endpoint)).map(|endpoint| endpoint.id.clone()).collect()
     }
 
-    /// What others are told of changes: of those that are used, or the whole list of these where others are used from now on.
-    fn used_changes(
+    /// The changes that other VMs receive: those within the subset, or the whole subset after it was resized.
+    fn changes_in_use(
         &self,
         changes: Vec<DirectoryEvent>,
-        gone: &HashSet<EndpointId>,
+        removed: &HashSet<EndpointId>,
         is_resized: bool,
         now: SystemTime,
     ) -> Vec<DirectoryEvent> {
@@ -201,22 +203,22 @@
         }
         let is_used = |event: &DirectoryEvent| match event {
             DirectoryEvent::Seen(endpoint) => self.subset.includes(endpoint),
-            DirectoryEvent::Gone(id) => gone.contains(id),
+            DirectoryEvent::Gone(id) => removed.contains(id),
             DirectoryEvent::All(_) | DirectoryEvent::Restored(_) => true,
         };
         changes.into_iter().filter(is_used).collect()
     }
 
-    /// Shows the endpoints that are used to traffic.
-    fn show(&self, cx: &PublishedContext) {
+    /// Publishes the usable endpoints of the subset to traffic.
+    fn publish_usable(&self, cx: &PublishedContext) {
         let now = cx.shared.clock.now();
         cx.shared.send_limits().cold.set(self.directory.cold(now));
         let used = || self.directory.all().filter(|endpoint| self.subset.includes(endpoint));
-        cx.shared.endpoint_states.configure(used().map(|endpoint| &endpoint.id));
+        cx.shared.endpoint_states.update_endpoints(used().map(|endpoint| &endpoint.id));
         let mut usable: EndpointsByService = HashMap::new();
         for endpoint in used().filter(|endpoint| !endpoint.is_leaving) {
             if let Some(slot) = cx.shared.endpoint_states.slot(&endpoint.id) {
-                slot.hear(now);
+                slot.record_activity(now);
             }
             usable.entry(endpoint.service.clone()).or_default().push(endpoint.clone());
         }
@@ -225,20 +227,22 @@
     }
 }
 
-/// Tells how much of the list is used, where this VM knows more; one that was told a part uses all of that.
-fn log_part(directory: &Directory, subset: &EndpointSubset) {
+/// Logs the size of the subset if it is smaller than the list.
+///
+/// A VM that received only a subset from another VM uses all of it.
+fn log_subset(directory: &Directory, subset: &EndpointSubset) {
     let used = directory.all().filter(|endpoint| subset.includes(endpoint)).count();
     if used < directory.len() {
-        log::info!(listed = directory.len(), used = used; "another part of the list of endpoints is used");
+        log::info!(listed = directory.len(), used = used; "subset of the endpoint list resized");
     }
 }
 
-/// Endpoints that one line names: a line for all of a large fleet would be as long as its list.
-const MAX_NAMED: usize = 64;
+/// Maximum number of endpoints that one log line names: for a large fleet, the line would be as long as the list.
+const MAX_LOGGED_ENDPOINTS: usize = 64;
 
 fn log_changes(before: &EndpointsByService, after: &EndpointsByService) {
-    let (gained, gained_more) = names_missing_in(before, after);
-    let (lost, lost_more) = names_missing_in(after, before);
+    let (gained, gained_more) = endpoints_missing_in(before, after);
+    let (lost, lost_more) = endpoints_missing_in(after, before);
     log::info!(
         gained = gained.as_str(),
         lost = lost.as_str(),
@@ -248,12 +252,12 @@
     );
 }
 
-/// Endpoints of `other` that are missing in `known`: the names of some, and how many more there are.
-fn names_missing_in(known: &EndpointsByService, other: &EndpointsByService) -> (String, usize) {
+/// The endpoints of `other` that are missing in `known`: the names of the first ones, and the number of the rest.
+fn endpoints_missing_in(known: &EndpointsByService, other: &EndpointsByService) -> (String, usize) {
     let known: HashSet<&str> = known.values().flatten().map(|endpoint| endpoint.id.as_str()).collect();
     let missing: Vec<&ListedEndpoint> =
         other.values().flatten().filter(|endpoint| !known.contains(endpoint.id.as_str())).collect();
-    let named = missing.iter().take(MAX_NAMED);
+    let named = missing.iter().take(MAX_LOGGED_ENDPOINTS);
     let names: Vec<String> = named.map(|endpoint| format!("{}@{}", endpoint.id, endpoint.version)).collect();
     (names.join(","), missing.len() - names.len())
 }
--- a/havengrade_router/src/published/vms.rs
+++ b/havengrade_router/src/published/known_vms.rs
@@ -1,4 +1,4 @@
-//! The other VMs that are known: read from the kept list, or told by a VM that reads it.
+//! The other VMs that this one knows: from the stored list, or from a reader of the store.
 
 use std::net::SocketAddr;
 
@@ -8,15 +8,15 @@
 use crate::published::{
     context::PublishedContext,
     ports::{Roster, StoreError},
-    take::{Wanted, take},
+    state_fetch::{FetchTarget, fetch},
 };
 
-/// Where the VMs that are known hear reports.
-pub(super) fn addresses(cx: &PublishedContext) -> Vec<SocketAddr> {
+/// The addresses at which the known VMs receive reports.
+pub(super) fn peer_addresses(cx: &PublishedContext) -> Vec<SocketAddr> {
     cx.shared.peers().all().map(|peer| peer.address).collect()
 }
 
-/// Reads the kept list.
+/// Reads the stored list of VMs.
 pub(super) async fn read_list(cx: &PublishedContext, roster: &dyn Roster) -> Result<(), StoreError> {
     let listed = roster.read().await?;
     let now = cx.shared.clock.now();
@@ -29,17 +29,17 @@
     Ok(())
 }
 
-/// Asks one of the VMs that read the store whom it knows.
-pub(super) async fn ask_one(cx: &PublishedContext) -> bool {
-    let Some(other) = any_reader(cx) else { return false };
-    let taken = take(cx, other, Wanted::Vms).await;
-    if let Err(error) = &taken {
-        log::info!("{other} did not tell whom it knows: {error}");
+/// Asks a random reader of the store for the VMs that it knows; returns whether it gave them.
+pub(super) async fn ask_reader(cx: &PublishedContext) -> bool {
+    let Some(other) = random_reader(cx) else { return false };
+    let fetched = fetch(cx, other, FetchTarget::Vms).await;
+    if let Err(error) = &fetched {
+        log::info!("{other} did not give the VMs that it knows: {error}");
     }
-    taken.is_ok()
+    fetched.is_ok()
 }
 
-fn any_reader(cx: &PublishedContext) -> Option<SocketAddr> {
+fn random_reader(cx: &PublishedContext) -> Option<SocketAddr> {
     let me = &cx.shared.settings.vm.id;
     let peers = cx.shared.peers();
     let vms = peers.all().map(|peer| &peer.vm).chain([me]);
--- a/havengrade_router/src/published/mod.rs
+++ b/havengrade_router/src/published/mod.rs
@@ -1,7 +1,7 @@
-//! Published routes: callers' HTTP requests pass unchanged to endpoints of the router's choice.
+//! Published routes: callers' HTTP requests are forwarded unchanged to endpoints that the router chooses.
 //!
-//! What differs between deployments (names of headers, formats of records, where configuration is kept)
-//! is behind the traits in [`ports`].
+//! Differences between deployments (names of headers, formats of records, location of the configuration) are behind
+//! the traits in [`ports`].
 
 mod active_request;
 mod attempt;
@@ -11,31 +11,31 @@
 pub mod dialect;
 mod endpoint_choice;
 pub mod event_stream;
-pub mod follow;
+mod event_timer;
+mod feed_consumers;
+pub mod feed_reader;
 pub mod forward;
 mod framing;
-mod hand_on;
+mod known_vms;
 mod outcomes;
-mod pace;
+mod part_cache;
 pub mod peers;
 pub mod ports;
 mod quarantine;
 pub mod refusal;
+mod registration;
 mod retry_budgets;
 mod rewrite;
 pub mod rollouts;
-mod roster;
 pub mod router;
 mod send_limits;
 pub mod server;
+mod shutdown;
 mod signals;
-mod starting;
+mod startup;
+mod state_fetch;
 mod state_parts;
-mod stopping;
+mod state_server;
 mod store_access;
-mod store_view;
-mod take;
-mod takers;
-mod vms;
+mod store_queries;
 pub(crate) mod wire;
-mod written;
--- a/havengrade_router/src/published/rewrite.rs
+++ b/havengrade_router/src/published/rewrite.rs
@@ -1,4 +1,4 @@
-//! Heads on their way through the router: what belongs to one connection stays behind.
+//! Rewrites the heads of requests and answers that the router forwards; hop-by-hop headers are removed.
 
 use std::time::SystemTime;
 
@@ -13,7 +13,7 @@
 
 use crate::published::{active_request::ActiveRequest, context::PublishedContext, ports::ForwardAttributes};
 
-/// Headers that concern one connection only.
+/// Headers that apply to one connection only.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -25,52 +25,53 @@
     header::UPGRADE,
 ];
 
-/// The caller's request as it goes to an endpoint.
-pub(super) fn encode(
+/// Builds the request to an endpoint from that of the caller.
+pub(super) fn encode_request(
     cx: &PublishedContext,
-    job: &ActiveRequest,
+    request: &ActiveRequest,
     endpoint: &ListedEndpoint,
     resume_after: Option<&str>,
     now: SystemTime,
 ) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(job.body.clone()));
-    *request.method_mut() = job.head.method.clone();
-    let path = job.head.uri.path_and_query().cloned();
-    *request.uri_mut() = path.map_or_else(|| job.head.uri.clone(), Uri::from);
-    let mut headers = job.head.headers.clone();
+    let mut outgoing = Request::new(Full::new(request.body.clone()));
+    *outgoing.method_mut() = request.head.method.clone();
+    let path = request.head.uri.path_and_query().cloned();
+    *outgoing.uri_mut() = path.map_or_else(|| request.head.uri.clone(), Uri::from);
+    let mut headers = request.head.headers.clone();
     strip_hop_by_hop(&mut headers);
-    if job.body.is_empty() && !headers.contains_key(header::CONTENT_LENGTH) {
+    if request.body.is_empty() && !headers.contains_key(header::CONTENT_LENGTH) {
         headers.remove(header::CONTENT_LENGTH);
     }
-    let order = ForwardAttributes {
+    let attributes = ForwardAttributes {
         endpoint: &endpoint.id,
-        time_left: job.time_left(now),
-        account: job.account.as_deref(),
-        model: job.model.as_deref(),
+        time_left: request.time_left(now),
+        account: request.account.as_deref(),
+        model: request.model.as_deref(),
         resume_after,
-        priority: job.priority,
-        is_generation: job.facts.tokens.is_some(),
+        priority: request.priority,
+        is_generation: request.attributes.tokens.is_some(),
     };
-    cx.shared.dialect.encode_request(&mut headers, &order);
-    *request.headers_mut() = headers;
-    request
+    cx.shared.dialect.encode_request(&mut headers, &attributes);
+    *outgoing.headers_mut() = headers;
+    outgoing
 }
 
+/// Removes hop-by-hop headers and those that the `connection` header lists.
 fn strip_hop_by_hop(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| HeaderName::try_from(name.trim()).ok())
         .collect();
-    for name in named.iter().chain(&HOP_BY_HOP) {
+    for name in listed.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
 }
 
-/// The head of an answer as it goes to the caller.
-pub(super) fn answer_head(cx: &PublishedContext, mut head: response::Parts) -> response::Parts {
+/// Builds the head of the answer to the caller from that of the endpoint.
+pub(super) fn encode_answer_head(cx: &PublishedContext, mut head: response::Parts) -> response::Parts {
     strip_hop_by_hop(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
     cx.shared.dialect.strip_answer(&mut head.headers);
--- a/havengrade_router/src/settings/check.rs
+++ b/havengrade_router/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! Reading of a settings file: all faults are found together, each with its key, value and remedy.
+//! Parsing and validation of settings: all faults are reported together, each with its key, value and remedy.
 
 use std::{collections::BTreeSet, fmt};
 
@@ -10,39 +10,39 @@
 
 /// A fault of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// Key at fault, with its section.
+pub struct SettingsFault {
+    /// Invalid key with its section.
     pub key: String,
-    /// Value that stands there.
+    /// Value of the key.
     pub value: String,
-    /// What is wrong and what to do about it.
+    /// Description of the fault and its remedy.
     pub remedy: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SettingsFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} = {}: {}", self.key, self.value, self.remedy)
     }
 }
 
-/// Why a settings file can't be used.
+/// An unusable settings file.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
-    /// The file is not TOML.
+    /// The file is not valid TOML.
     #[snafu(display("settings: {source}"))]
     Malformed {
-        /// What the TOML reader says.
+        /// Error of the TOML parser.
         source: toml::de::Error,
     },
-    /// The file has faults.
+    /// Some keys or values are invalid.
     #[snafu(display("settings: {}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\nsettings: ")))]
     Faulty {
-        /// All of them.
-        faults: Vec<Fault>,
+        /// All faults of the file.
+        faults: Vec<SettingsFault>,
     },
 }
 
-/// Reads settings; what a file leaves out takes its default.
+/// Parses settings; keys that the text omits take their defaults.
 ///
 /// # Errors
 ///
@@ -61,9 +61,9 @@
     for (section, value) in &table {
         merge(&defaults, &mut merged, section, value, &mut faults);
     }
-    // What could not be merged has its default there, so the rest is still checked.
+    // Invalid values are left at their defaults so that the remaining ones can still be validated.
     let settings = Settings::deserialize_table(merged).unwrap_or_default();
-    faults.extend(impossible(&settings));
+    faults.extend(validate(&settings));
     ensure!(faults.is_empty(), FaultySnafu { faults });
     Ok(settings)
 }
@@ -74,8 +74,8 @@
     }
 }
 
-/// Takes a section over key by key, so that each key's fault is found by itself.
-fn merge(defaults: &Table, merged: &mut Table, section: &str, value: &Value, faults: &mut Vec<Fault>) {
+/// Merges a section key by key so that each fault is attributed to its key.
+fn merge(defaults: &Table, merged: &mut Table, section: &str, value: &Value, faults: &mut Vec<SettingsFault>) {
     let Value::Table(keys) = value else {
         return merge_value(defaults, merged, &[section], value, faults);
     };
@@ -87,13 +87,17 @@
     }
 }
 
-fn merge_value(defaults: &Table, merged: &mut Table, path: &[&str], value: &Value, faults: &mut Vec<Fault>) {
-    let mut alone = defaults.clone();
-    set(&mut alone, path, value.clone());
-    match Settings::deserialize_table(alone) {
+fn merge_value(defaults: &Table, merged: &mut Table, path: &[&str], value: &Value, faults: &mut Vec<SettingsFault>) {
+    let mut candidate = defaults.clone();
+    set(&mut candidate, path, value.clone());
+    match Settings::deserialize_table(candidate) {
         Ok(_) => set(merged, path, value.clone()),
         Err(error) => {
-            faults.push(Fault { key: path.join("."), value: value.to_string(), remedy: remedy(error.message()) });
+            faults.push(SettingsFault {
+                key: path.join("."),
+                value: value.to_string(),
+                remedy: remedy(error.message()),
+            });
         },
     }
 }
@@ -117,8 +121,8 @@
     }
 }
 
-/// Values that can be read but can't be meant.
-fn impossible(settings: &Settings) -> Vec<Fault> {
+/// Finds values of the right type that make no sense.
+fn validate(settings: &Settings) -> Vec<SettingsFault> {
     let mut faults = Vec::new();
     check_zeros(settings, &mut faults);
     check_ports(settings, &mut faults);
@@ -128,8 +132,8 @@
     faults
 }
 
-fn check_zeros(settings: &Settings, faults: &mut Vec<Fault>) {
-    /// Keys for which 0 has a meaning.
+fn check_zeros(settings: &Settings, faults: &mut Vec<SettingsFault>) {
+    /// Keys for which 0 is a valid value.
     const MAY_BE_ZERO: [&str; 4] =
         ["vm.traffic_threads", "rating.sample", "claims.batch_window_ms", "endpoints.retry_percent"];
     let table = Table::try_from(settings).unwrap_or_default();
@@ -138,13 +142,13 @@
         for (key, value) in keys {
             let path = format!("{section}.{key}");
             if *value == Value::Integer(0) && !MAY_BE_ZERO.contains(&path.as_str()) {
-                faults.push(Fault { key: path, value: "0".into(), remedy: "must be 1 or more".into() });
+                faults.push(SettingsFault { key: path, value: "0".into(), remedy: "must be 1 or more".into() });
             }
         }
     }
 }
 
-fn check_ports(settings: &Settings, faults: &mut Vec<Fault>) {
+fn check_ports(settings: &Settings, faults: &mut Vec<SettingsFault>) {
     let listen = &settings.listen;
     let mut seen = BTreeSet::new();
     let ports = [
@@ -158,51 +162,55 @@
     for (key, address) in ports.into_iter().chain(published) {
         if address.port() != 0 && !seen.insert(address) {
             let remedy = "another port of this VM has the same address; give each its own".into();
-            faults.push(Fault { key: key.into(), value: address.to_string(), remedy });
+            faults.push(SettingsFault { key: key.into(), value: address.to_string(), remedy });
         }
     }
 }
 
-/// Most retries for each request that can be meant; more would multiply an overload.
+/// Upper bound for the retry ratio; more retries for each request would multiply an overload.
 const MAX_RETRY_RATIO: f64 = 10.0;
 
-fn check_published(settings: &Settings, faults: &mut Vec<Fault>) {
+fn check_published(settings: &Settings, faults: &mut Vec<SettingsFault>) {
     let published = &settings.published;
     let ranges = [
         ("published.max_trial_share", published.max_trial_share, 1.0),
         ("published.retry_ratio", published.retry_ratio, MAX_RETRY_RATIO),
     ];
-    for (key, value, most) in ranges {
-        if !(0.0..=most).contains(&value) {
-            let remedy = format!("must be from 0 to {most}");
-            faults.push(Fault { key: key.into(), value: value.to_string(), remedy });
+    for (key, value, max) in ranges {
+        if !(0.0..=max).contains(&value) {
+            let remedy = format!("must be from 0 to {max}");
+            faults.push(SettingsFault { key: key.into(), value: value.to_string(), remedy });
         }
     }
     for (key, seconds) in [("published.session_s", published.session_s), ("published.grace_s", published.grace_s)] {
         if !seconds.is_finite() || seconds <= 0.0 {
-            faults.push(Fault { key: key.into(), value: seconds.to_string(), remedy: "must be more than 0".into() });
+            faults.push(SettingsFault {
+                key: key.into(),
+                value: seconds.to_string(),
+                remedy: "must be more than 0".into(),
+            });
         }
     }
 }
 
-fn check_times(settings: &Settings, faults: &mut Vec<Fault>) {
+fn check_times(settings: &Settings, faults: &mut Vec<SettingsFault>) {
     let pairs = [
         ("claims.batch_window_ms", settings.claims.batch_window_ms, "claims.deadline_ms", settings.claims.deadline_ms),
         ("claims.horizon_s", settings.claims.horizon_s, "log_service.retention_s", settings.log_service.retention_s),
         ("peers.heartbeat_ms", settings.peers.heartbeat_ms, "peers.silence_ms", settings.peers.silence_ms),
         ("endpoints.report_ms", settings.endpoints.report_ms, "endpoints.silence_ms", settings.endpoints.silence_ms),
     ];
-    for (key, value, over, limit) in pairs {
+    for (key, value, limit_key, limit) in pairs {
         if value >= limit {
-            let remedy = format!("must be less than {over}, which is {limit}");
-            faults.push(Fault { key: key.into(), value: value.to_string(), remedy });
+            let remedy = format!("must be less than {limit_key}, which is {limit}");
+            faults.push(SettingsFault { key: key.into(), value: value.to_string(), remedy });
         }
     }
 }
 
-fn check_names(settings: &Settings, faults: &mut Vec<Fault>) {
+fn check_names(settings: &Settings, faults: &mut Vec<SettingsFault>) {
     let mut fault = |key: &str, value: &str, remedy: &str| {
-        faults.push(Fault { key: key.into(), value: format!("{value:?}"), remedy: remedy.into() });
+        faults.push(SettingsFault { key: key.into(), value: format!("{value:?}"), remedy: remedy.into() });
     };
     let id = &settings.vm.id;
     if id.is_empty() || id.contains(['/', '.']) {
--- a/havengrade_router/tests/logging.rs
+++ b/havengrade_router/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Logs never make anyone wait, and say how much of them was lost.
+//! Logging never blocks the caller and reports the number of dropped lines.
 #![allow(clippy::unwrap_used)]
 
 use std::{
@@ -7,10 +7,10 @@
     time::Instant,
 };
 
-use havengrade_router::logging::{LineWriter, write_out};
+use havengrade_router::logging::{LineWriter, write_lines};
 
 #[test]
-fn a_reader_that_never_reads_holds_nobody_up() {
+fn full_queue_drops_lines_without_blocking() {
     let (mut writer, rx, dropped) = LineWriter::new(10);
     for _ in 0..1000 {
         writer.write_all(b"line\n").unwrap();
@@ -19,14 +19,14 @@
     drop(writer);
     let mut out = Vec::new();
     let start = Instant::now();
-    write_out(&rx, &dropped, 100, &|| start, &mut out);
+    write_lines(&rx, &dropped, 100, &|| start, &mut out);
     let text = String::from_utf8(out).unwrap();
     assert_eq!(text.lines().filter(|line| *line == "line").count(), 10);
     assert!(text.contains(r#""dropped":990"#), "{text}");
 }
 
 #[test]
-fn lines_over_the_rate_are_dropped_and_counted() {
+fn lines_above_the_rate_limit_are_dropped_and_counted() {
     let (mut writer, rx, dropped) = LineWriter::new(1000);
     for _ in 0..60 {
         writer.write_all(b"line\n").unwrap();
@@ -34,16 +34,16 @@
     drop(writer);
     let mut out = Vec::new();
     let start = Instant::now();
-    write_out(&rx, &dropped, 25, &|| start, &mut out);
+    write_lines(&rx, &dropped, 25, &|| start, &mut out);
     let text = String::from_utf8(out).unwrap();
     assert_eq!(text.lines().filter(|line| *line == "line").count(), 25);
     assert!(text.contains(r#""dropped":35"#), "{text}");
 }
 
 #[test]
-fn a_closed_output_ends_nothing() {
-    struct Closed;
-    impl Write for Closed {
+fn closed_output_does_not_end_the_writer() {
+    struct ClosedOutput;
+    impl Write for ClosedOutput {
         fn write(&mut self, _buf: &[u8]) -> io::Result<usize> {
             Err(io::Error::from(io::ErrorKind::BrokenPipe))
         }
@@ -55,5 +55,5 @@
     writer.write_all(b"line\n").unwrap();
     drop(writer);
     let start = Instant::now();
-    write_out(&rx, &dropped, 100, &|| start, &mut Closed);
+    write_lines(&rx, &dropped, 100, &|| start, &mut ClosedOutput);
 }
