--- a/havengrade_dev/src/lib.rs
+++ b/havengrade_dev/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod fleet;
 pub mod history;
 pub mod load;
+pub mod processes;
 pub mod scenario;
 pub mod schedule;
 pub mod stand_in;
